--- a/src/bm_bench.c
+++ b/src/bm_bench.c
@@ -235,15 +235,15 @@
 run_replays(const struct options *o)
 {
     struct replay_options r = {.seeds = (uint32_t)o->seeds};
-    enum broker_part part =
-        o->without != NULL ? replay_part(o->without) : BROKER_PARTS;
+    enum broker_feature part =
+        o->without != NULL ? replay_part(o->without) : BROKER_FEATURES;
 
-    if (o->without != NULL && part == BROKER_PARTS) {
+    if (o->without != NULL && part == BROKER_FEATURES) {
         (void)fprintf(stderr, "bm-bench: no part is called %s\n", o->without);
         return EXIT_USAGE;
     }
     r.bounded = o->without == NULL;
-    if (part < BROKER_PARTS) {
+    if (part < BROKER_FEATURES) {
         r.without[part] = true;
     }
     return replays_print(&r, (uint32_t)o->draws, stdout) ? EXIT_SUCCESS
--- a/src/broker.c
+++ b/src/broker.c
@@ -24,17 +24,17 @@
     return (struct broker_options){
         .seed = 1,
         .lease_us = USEC_PER_SEC,
-        .resend_us = 1300 * USEC_PER_MSEC,
-        .look_us = 100 * USEC_PER_MSEC,
+        .resubmit_us = 1300 * USEC_PER_MSEC,
+        .poll_wait_us = 100 * USEC_PER_MSEC,
         .call_timeout_us = 150 * USEC_PER_MSEC,
-        .settle_us = 1500 * USEC_PER_MSEC,
-        .settle_min_us = 100 * USEC_PER_MSEC,
-        .start_wait_us = 750 * USEC_PER_MSEC,
-        .load_us = 50 * USEC_PER_MSEC,
-        .loads_per_s = 400, /* twenty others every load_us */
-        .stop_us = 5400 * USEC_PER_MSEC,
-        .quit_us = 2600 * USEC_PER_MSEC,
-        .upstreams_each = 32,
+        .discovery_us = 1500 * USEC_PER_MSEC,
+        .discovery_min_us = 100 * USEC_PER_MSEC,
+        .startup_wait_us = 750 * USEC_PER_MSEC,
+        .load_interval_us = 50 * USEC_PER_MSEC,
+        .load_reports_per_s = 400, /* twenty others every load_us */
+        .stop_timeout_us = 5400 * USEC_PER_MSEC,
+        .stop_accept_us = 2600 * USEC_PER_MSEC,
+        .upstreams_per_holder = 32,
         .clock_drift = 0.02,
     };
 }
@@ -49,7 +49,7 @@
     }
     b->opts = *o;
     renew_init(b);
-    b->random = o->seed;
+    b->rng = o->seed;
     b->view = 1;
     map_init(&b->peers_by_name, MAP_NAME);
     map_init(&b->upstreams_by_name, MAP_NAME);
@@ -68,7 +68,7 @@
         struct broker_service *s = b->services;
 
         b->services = s->next;
-        free(s->history);
+        free(s->stats);
         free(s);
     }
 }
@@ -106,12 +106,12 @@
     while ((u = table_next(&b->upstreams, &at, &h)) != NULL) {
         free(u->tasks);
     }
-    for (size_t i = 0; i < b->n_local; i++) {
-        msg_free(&b->local[i]);
+    for (size_t i = 0; i < b->n_local_msgs; i++) {
+        msg_free(&b->local_msgs[i]);
     }
-    free(b->local);
+    free(b->local_msgs);
     free(b->holders);
-    free(b->holds);
+    free(b->hold_updates);
     free_services(b);
     peers_free(b);
     table_clear(&b->caller_jobs);
@@ -129,7 +129,7 @@
 uint64_t
 broker_random(struct broker *b, uint64_t n)
 {
-    return random_next(&b->random) % n;
+    return random_next(&b->rng) % n;
 }
 
 void
@@ -138,9 +138,10 @@
     struct be_send *s;
 
     if (name_equal(to, b->opts.self)) {
-        b->local = array_grow(b->local, b->n_local, &b->local_room,
-                              sizeof(*b->local));
-        b->local[b->n_local++] = *m;
+        b->local_msgs =
+            array_grow(b->local_msgs, b->n_local_msgs, &b->local_msgs_capacity,
+                       sizeof(*b->local_msgs));
+        b->local_msgs[b->n_local_msgs++] = *m;
     }
     else {
         s = &broker_effects_add(b->fx, BE_SEND)->u.send;
@@ -191,10 +192,10 @@
         peers_on_load(b, from, &m->u.broker_load);
         break;
     case MSG_JOB_OFFER:
-        runs_on_offer(b, from, &m->u.job_offer);
+        run_on_offer(b, from, &m->u.job_offer);
         break;
     case MSG_JOB_DROP:
-        runs_on_drop(b, from, m->u.job_drop.number);
+        run_on_drop(b, from, m->u.job_drop.number);
         break;
     case MSG_JOB_CHECK:
         renew_asked(b, from, m->u.job_check.sent_us, true);
@@ -203,7 +204,7 @@
         renew_on_renewal(b, from, &m->u.job_renewal);
         break;
     case MSG_JOB_END:
-        callers_on_end(b, from, &m->u.job_end);
+        caller_on_job_end(b, from, &m->u.job_end);
         break;
     default:
         break; /* control's own, or of a later version */
@@ -213,13 +214,13 @@
 static void
 take_local(struct broker *b)
 {
-    for (size_t i = 0; i < b->n_local; i++) {
-        struct msg m = b->local[i];
+    for (size_t i = 0; i < b->n_local_msgs; i++) {
+        struct msg m = b->local_msgs[i];
 
         on_message(b, b->opts.self, &m);
         msg_free(&m);
     }
-    b->n_local = 0;
+    b->n_local_msgs = 0;
 }
 
 /* A process that stood still (a paused machine) may wake as what it no longer
@@ -230,18 +231,18 @@
 static void
 check_pause(struct broker *b)
 {
-    int64_t gap = b->now.mono_us - b->last_us;
+    int64_t gap = b->now.mono_us - b->last_step_us;
 
-    if (b->last_us == 0 || gap < PAUSE_LEASES * b->opts.lease_us) {
+    if (b->last_step_us == 0 || gap < PAUSE_LEASES * b->opts.lease_us) {
         return;
     }
     b->counters.pauses++;
     broker_log(b, LOG_WARNING, BROKER_PAUSED, 0, -1, b->opts.self,
                "%lld ms without a step", (long long)(gap / USEC_PER_MSEC));
     b->started_us = b->now.mono_us;
-    b->settled = false;
-    b->roster_us = 0;
-    runs_paused(b);
+    b->discovery_over = false;
+    b->first_roster_us = 0;
+    run_on_pause(b);
     hold_paused(b);
 }
 
@@ -252,13 +253,13 @@
         return;
     }
     b->stopping = true;
-    b->stop_us = b->now.mono_us;
+    b->stop_begun_us = b->now.mono_us;
     broker_log(b, LOG_NOTICE, BROKER_STOP_BEGUN, 0, -1, b->opts.self,
                "%zu jobs of callers, %zu run here", b->caller_jobs.n,
                b->run_jobs.n);
     linger_begin(b);
     peers_stopping(b);
-    b->review = true;
+    b->review_due = true;
 }
 
 static void
@@ -266,16 +267,16 @@
 {
     switch (ev->kind) {
     case BEV_SUBMIT:
-        callers_submit(b, &ev->u.submit);
+        caller_on_submit(b, &ev->u.submit);
         break;
     case BEV_CANCEL:
-        callers_cancel(b, &ev->u.cancel);
+        caller_on_cancel(b, &ev->u.cancel);
         break;
     case BEV_GONE:
-        callers_gone(b, ev->u.gone.request);
+        caller_on_disconnect(b, ev->u.gone.request);
         break;
     case BEV_CALLED:
-        answer_on_called(b, &ev->u.called);
+        answer_on_call_end(b, &ev->u.called);
         break;
     case BEV_MESSAGE:
         on_message(b, ev->u.message.from, ev->u.message.msg);
@@ -296,14 +297,15 @@
 static void
 tell_stopped(struct broker *b)
 {
-    int64_t since = b->now.mono_us - b->stop_us;
+    int64_t since = b->now.mono_us - b->stop_begun_us;
     bool idle = b->caller_jobs.n == 0 && b->run_jobs.n == 0 && !hold_any(b);
 
-    if (!b->stopping || b->stopped_told ||
-        (since < b->opts.stop_us && (!idle || since < b->opts.quit_us))) {
+    if (!b->stopping || b->stopped_reported ||
+        (since < b->opts.stop_timeout_us &&
+         (!idle || since < b->opts.stop_accept_us))) {
         return;
     }
-    b->stopped_told = true;
+    b->stopped_reported = true;
     (void)broker_effects_add(b->fx, BE_STOPPED);
 }
 
@@ -314,14 +316,14 @@
     config_tick(b);
     peers_tick(b);
     renew_tick(b);
-    callers_tick(b);
+    caller_tick(b);
     hold_tick(b);
-    if (b->review && b->now.mono_us >= b->review_us) {
-        b->review = false;
-        b->review_us = b->now.mono_us + REVIEW_PAUSE_US;
+    if (b->review_due && b->now.mono_us >= b->next_review_us) {
+        b->review_due = false;
+        b->next_review_us = b->now.mono_us + REVIEW_PAUSE_US;
         hold_review(b);
     }
-    runs_tick(b);
+    run_tick(b);
 }
 
 void
@@ -329,19 +331,19 @@
             struct broker_effects *fx)
 {
     b->now = ev->now;
-    b->callers_us = ev->callers_us;
+    b->callers_known_us = ev->callers_known_us;
     b->fx = fx;
     if (b->started_us == 0) {
         b->started_us = b->now.mono_us;
-        b->review = true;
+        b->review_due = true;
     }
     check_pause(b);
-    b->last_us = b->now.mono_us;
+    b->last_step_us = b->now.mono_us;
     route(b, ev);
     take_local(b);
     tick(b);
     take_local(b);
-    runs_tick(b);
+    run_tick(b);
     take_local(b);
     hold_flush(b);
     tell_stopped(b);
@@ -361,16 +363,16 @@
 
     at = least(at, peers_next_us(b));
     at = least(at, config_next_us(b));
-    at = least(at, callers_next_us(b));
+    at = least(at, caller_next_us(b));
     at = least(at, hold_next_us(b));
-    at = least(at, runs_next_us(b));
+    at = least(at, run_next_us(b));
     at = least(at, linger_next_us(b));
     at = least(at, renew_next_us(b));
-    at = b->review ? least(at, b->review_us) : at;
-    if (b->stopping && !b->stopped_told) {
-        at = least(at, b->stop_us + b->opts.stop_us);
-        if (b->stop_us + b->opts.quit_us > b->now.mono_us) {
-            at = least(at, b->stop_us + b->opts.quit_us);
+    at = b->review_due ? least(at, b->next_review_us) : at;
+    if (b->stopping && !b->stopped_reported) {
+        at = least(at, b->stop_begun_us + b->opts.stop_timeout_us);
+        if (b->stop_begun_us + b->opts.stop_accept_us > b->now.mono_us) {
+            at = least(at, b->stop_begun_us + b->opts.stop_accept_us);
         }
     }
     return at;
@@ -391,9 +393,9 @@
 }
 
 int64_t
-broker_start_over_us(const struct broker *b)
+broker_startup_end_us(const struct broker *b)
 {
-    return b->started_us + b->opts.start_wait_us;
+    return b->started_us + b->opts.startup_wait_us;
 }
 
 const struct queueconf *
@@ -403,7 +405,7 @@
 }
 
 uint32_t
-broker_waiting(const struct broker *b, struct name queue)
+broker_pending_jobs(const struct broker *b, struct name queue)
 {
     const struct caller_job *c;
     struct handle h;
@@ -439,7 +441,8 @@
         g->upstreams_known++;
         g->upstreams_held += u->state != HOLD_NONE ? 1 : 0;
         g->upstreams_open += u->state == HOLD_OPEN ? 1 : 0;
-        g->upstreams_quarantined += u->until_us > b->now.mono_us ? 1 : 0;
+        g->upstreams_quarantined +=
+            u->quarantine_until_us > b->now.mono_us ? 1 : 0;
         g->tasks_running += u->n_tasks;
     }
 }
--- a/src/broker.h
+++ b/src/broker.h
@@ -42,28 +42,28 @@
 /* clang-format on */
 
 /* Parts of what a broker decides that can be left out, to see what each is
- * worth: BROKER_PART(NAME, what it does).  No settings reach them. */
+ * worth: BROKER_FEATURE(NAME, what it does).  No settings reach them. */
 /* clang-format off */
-#define BROKER_PART_LIST(BROKER_PART)                                         \
-    BROKER_PART(LATEST_START, "order by the latest start that is in time")    \
-    BROKER_PART(PRIORITY, "urgent queues go a little before")                 \
-    BROKER_PART(SHARES, "room is shared between queues in overload")          \
-    BROKER_PART(SPARE, "late jobs leave some room to others")                 \
-    BROKER_PART(WIDE, "wide late jobs begin in part")                         \
-    BROKER_PART(STALLED, "standing runs are stopped and placed anew")         \
-    BROKER_PART(SLOW, "upstreams are judged by how slow they are")            \
-    BROKER_PART(FAILING, "failing upstreams are put out for a while")         \
-    BROKER_PART(BEST_FIT, "the fullest of equal upstreams is chosen")         \
-    BROKER_PART(OTHER_ZONES, "jobs are offered to other zones")               \
-    BROKER_PART(LEARNED, "run times are learned")                             \
-    BROKER_PART(LOST_STARTS, "starts without an answer are placed anew")
+#define BROKER_FEATURE_LIST(BROKER_FEATURE)                                         \
+    BROKER_FEATURE(LATEST_START, "order by the latest start that is in time")    \
+    BROKER_FEATURE(PRIORITY, "urgent queues go a little before")                 \
+    BROKER_FEATURE(SHARES, "room is shared between queues in overload")          \
+    BROKER_FEATURE(SPARE, "late jobs leave some room to others")                 \
+    BROKER_FEATURE(WIDE, "wide late jobs begin in part")                         \
+    BROKER_FEATURE(STALLED, "standing runs are stopped and placed anew")         \
+    BROKER_FEATURE(SLOW, "upstreams are judged by how slow they are")            \
+    BROKER_FEATURE(FAILING, "failing upstreams are put out for a while")         \
+    BROKER_FEATURE(BEST_FIT, "the fullest of equal upstreams is chosen")         \
+    BROKER_FEATURE(OTHER_ZONES, "jobs are offered to other zones")               \
+    BROKER_FEATURE(LEARNED, "run times are learned")                             \
+    BROKER_FEATURE(LOST_STARTS, "starts without an answer are placed anew")
 /* clang-format on */
 
-enum broker_part {
-#define BROKER_PART(NAME, text) BROKER_PART_##NAME,
-    BROKER_PART_LIST(BROKER_PART)
-#undef BROKER_PART
-        BROKER_PARTS,
+enum broker_feature {
+#define BROKER_FEATURE(NAME, text) BROKER_FEATURE_##NAME,
+    BROKER_FEATURE_LIST(BROKER_FEATURE)
+#undef BROKER_FEATURE
+        BROKER_FEATURES,
 };
 
 enum broker_break {
@@ -87,26 +87,26 @@
  * @seed: for jitter
  * @read_config: reads what control sends of a published text
  * @lease_us: longest lease that upstreams grant
- * @resend_us: a caller hands a job in again so long after its outcome became
+ * @resubmit_us: a caller hands a job in again so long after its outcome became
  *             unclear to it, not sooner
- * @look_us: an answer to a look without an end comes after this
+ * @poll_wait_us: an answer to a look without an end comes after this
  * @call_timeout_us: without an answer a call is given up
- * @settle_us: after the start, until other brokers had time to show up, no
+ * @discovery_us: after the start, until other brokers had time to show up, no
  *             upstream is taken
- * @settle_min_us: from the first word of a registry, it need not be longer
+ * @discovery_min_us: from the first word of a registry, it need not be longer
  *                 where all brokers of the zone that were named are connected;
  *                 about as long as two attempts to dial are apart
- * @start_wait_us: after the start, requests are kept for so long until there
+ * @startup_wait_us: after the start, requests are kept for so long until there
  *                 is a configuration and somebody who runs jobs
- * @load_us: between reports of the load to other brokers, at least
- * @loads_per_s: messages with such a report in a second, at most
- * @stop_us: a planned stop takes no longer
- * @quit_us: after a planned stop began, callers' new jobs are still taken for
- *           so long: that is how long the platform may go on sending them
- * @upstreams_each: upstreams of a zone for each broker that holds any
+ * @load_interval_us: between reports of the load to other brokers, at least
+ * @load_reports_per_s: messages with such a report in a second, at most
+ * @stop_timeout_us: a planned stop takes no longer
+ * @stop_accept_us: after a planned stop began, callers' new jobs are still
+ * taken for so long: that is how long the platform may go on sending them
+ * @upstreams_per_holder: upstreams of a zone for each broker that holds any
  * @clock_drift: an upstream's clock may be slower by that share
  * @breaks: wrong decisions to make, for tests; all false
- * @without: parts that are left out, for measurements; all false
+ * @disabled: parts that are left out, for measurements; all false
  */
 struct broker_options {
     struct name self;
@@ -118,20 +118,20 @@
     uint64_t seed;
     broker_read_config *read_config;
     int64_t lease_us;
-    int64_t resend_us;
-    int64_t look_us;
+    int64_t resubmit_us;
+    int64_t poll_wait_us;
     int64_t call_timeout_us;
-    int64_t settle_us;
-    int64_t settle_min_us;
-    int64_t start_wait_us;
-    int64_t load_us;
-    uint32_t loads_per_s;
-    int64_t stop_us;
-    int64_t quit_us;
-    uint32_t upstreams_each;
+    int64_t discovery_us;
+    int64_t discovery_min_us;
+    int64_t startup_wait_us;
+    int64_t load_interval_us;
+    uint32_t load_reports_per_s;
+    int64_t stop_timeout_us;
+    int64_t stop_accept_us;
+    uint32_t upstreams_per_holder;
     double clock_drift;
     bool breaks[BROKER_BREAKS];
-    bool without[BROKER_PARTS];
+    bool disabled[BROKER_FEATURES];
 };
 
 /** broker_options_default() - every field but names, addresses, incarnation
@@ -155,21 +155,21 @@
  * broker that holds upstreams, and is not stopping */
 bool broker_ready(const struct broker *b);
 
-/** broker_start_over_us() - monotonic time until which what a broker that has
+/** broker_startup_end_us() - monotonic time until which what a broker that has
  * just started lacks may be waited for */
-int64_t broker_start_over_us(const struct broker *b);
+int64_t broker_startup_end_us(const struct broker *b);
 
 /** broker_queues() - the configuration in force, or NULL */
 const struct queueconf *broker_queues(const struct broker *b);
 
-/** broker_config_behind() - whether a registry has told of a newer
+/** broker_config_outdated() - whether a registry has told of a newer
  * configuration than the one in force: what that one does not know may be
  * there */
-bool broker_config_behind(const struct broker *b);
+bool broker_config_outdated(const struct broker *b);
 
-/** broker_waiting() - jobs of a queue that were taken here and of which
+/** broker_pending_jobs() - jobs of a queue that were taken here and of which
  * nothing is known to have started */
-uint32_t broker_waiting(const struct broker *b, struct name queue);
+uint32_t broker_pending_jobs(const struct broker *b, struct name queue);
 
 /* Counters: BROKER_COUNTER(name, help).  All only rise. */
 /* clang-format off */
--- a/src/broker_answer.c
+++ b/src/broker_answer.c
@@ -36,16 +36,16 @@
 static void
 note_answer(struct broker *b, int64_t took_us)
 {
-    int64_t off =
-        took_us > b->ack_us ? took_us - b->ack_us : b->ack_us - took_us;
+    int64_t off = took_us > b->ack_mean_us ? took_us - b->ack_mean_us
+                                           : b->ack_mean_us - took_us;
 
-    if (b->ack_us == 0) {
-        b->ack_us = took_us;
+    if (b->ack_mean_us == 0) {
+        b->ack_mean_us = took_us;
         b->ack_dev_us = took_us / 2;
         return;
     }
     b->ack_dev_us += (off - b->ack_dev_us) / 4;
-    b->ack_us += (took_us - b->ack_us) / 8;
+    b->ack_mean_us += (took_us - b->ack_mean_us) / 8;
 }
 
 /* Answers to looks */
@@ -55,7 +55,7 @@
            struct task_ref ref, struct run_job **job)
 {
     for (size_t i = 0; i < u->n_tasks; i++) {
-        struct run_task *t = runs_task(b, &u->tasks[i], job);
+        struct run_task *t = run_find_task(b, &u->tasks[i], job);
 
         if (same_run(lease_ref(*job, t), ref)) {
             return t;
@@ -71,10 +71,10 @@
             const struct run_job *job, const struct run_task *t, double ran_us)
 {
     double usual = (double)t->expected_us / u->slowness /
-                   place_remote(&job->groups[t->group], u);
+                   place_remote_factor(&job->groups[t->group], u);
 
     if (job->n_done > 0 && job->n_groups == 1) {
-        trust_ok(b, u, ran_us * job->n_done / (double)job->done_us,
+        trust_ok(b, u, ran_us * job->n_done / (double)job->total_run_us,
                  SIBLINGS_WEIGHT);
     }
     else if (usual > 0) {
@@ -87,18 +87,19 @@
            struct run_task *t)
 {
     const struct rec_task_group *g = &job->groups[t->group];
-    double ran_us = (double)(b->now.mono_us - t->sent_us) / place_remote(g, u);
+    double ran_us = (double)(b->now.mono_us - t->start_sent_us) /
+                    place_remote_factor(g, u);
 
     /* Not divided by the upstream's slowness: what is learned of one would
      * then rest on the other, and both could drift off together. */
-    histogram_add(&b->histograms.run, b->now.mono_us - t->sent_us);
-    if (!b->opts.without[BROKER_PART_LEARNED]) {
+    histogram_add(&b->histograms.run, b->now.mono_us - t->start_sent_us);
+    if (!b->opts.disabled[BROKER_FEATURE_LEARNED]) {
         order_learn(job, g, (int64_t)ran_us + 1);
     }
     judge_speed(b, u, job, t, ran_us);
     job->n_done++;
-    job->done_us += (int64_t)ran_us + 1;
-    runs_done(b, job, t);
+    job->total_run_us += (int64_t)ran_us + 1;
+    run_mark_done(b, job, t);
 }
 
 static void
@@ -112,29 +113,30 @@
         return; /* of a broker before us, or settled otherwise */
     }
     if (e->how != LEASE_DONE) {
-        broker_log(b, LOG_INFO, BROKER_RUN_ENDED, job->id, runs_label(job, t),
-                   u->name, "%s, run %llu, after %lld ms",
-                   e->how == LEASE_FAILED    ? "failed"
-                   : e->how == LEASE_STOPPED ? "stopped"
-                   : e->how == LEASE_LAPSED  ? "lapsed"
-                                             : "broken",
-                   (unsigned long long)t->run,
-                   (long long)((b->now.mono_us - t->sent_us) / USEC_PER_MSEC));
+        broker_log(
+            b, LOG_INFO, BROKER_RUN_ENDED, job->id, run_task_number(job, t),
+            u->name, "%s, run %llu, after %lld ms",
+            e->how == LEASE_FAILED    ? "failed"
+            : e->how == LEASE_STOPPED ? "stopped"
+            : e->how == LEASE_LAPSED  ? "lapsed"
+                                      : "broken",
+            (unsigned long long)t->run,
+            (long long)((b->now.mono_us - t->start_sent_us) / USEC_PER_MSEC));
     }
     switch (e->how) {
     case LEASE_DONE:
         ended_well(b, u, job, t);
         break;
     case LEASE_FAILED:
-        runs_failed(b, job, t);
+        run_mark_failed(b, job, t);
         break;
     case LEASE_STOPPED:
         b->counters.tasks_stopped++;
-        runs_ready(b, job, t);
+        run_mark_ready(b, job, t);
         break;
     default:
         b->counters.tasks_lapsed++;
-        runs_ready(b, job, t);
+        run_mark_ready(b, job, t);
         break;
     }
 }
@@ -144,11 +146,11 @@
           const struct lease_answer *a)
 {
     for (size_t i = 0; i < a->n_ended; i++) {
-        if (a->ended[i].number <= u->noted) {
+        if (a->ended[i].number <= u->last_end) {
             continue;
         }
-        u->noted = a->ended[i].number;
-        u->unnoted = true;
+        u->last_end = a->ended[i].number;
+        u->ack_pending = true;
         if (u->state != HOLD_TAKING) {
             take_end(b, u, &a->ended[i]);
         }
@@ -169,8 +171,8 @@
         return;
     }
     whole = (double)ran_us * PERCENT_FULL / (double)t->percent /
-            place_remote(&job->groups[t->group], u);
-    pace = whole * job->n_done / (double)job->done_us;
+            place_remote_factor(&job->groups[t->group], u);
+    pace = whole * job->n_done / (double)job->total_run_us;
     if (pace > 2.0 * u->slowness) {
         u->slowness = pace;
     }
@@ -183,31 +185,31 @@
     int64_t still_us;
     double allowed = STALL_RUNS * (double)t->expected_us;
 
-    if (t->state == RUN_STARTING || t->state == RUN_UNSETTLED) {
+    if (t->state == RUN_STARTING || t->state == RUN_UNRESOLVED) {
         t->state = RUN_RUNNING;
-        t->percent_us = b->now.mono_us;
+        t->progress_us = b->now.mono_us;
     }
     if (t->state != RUN_RUNNING) {
         return;
     }
     if (percent > t->percent) {
         t->percent = percent;
-        t->percent_us = b->now.mono_us;
-        if (!b->opts.without[BROKER_PART_SLOW]) {
-            judge_pace(u, job, t, b->now.mono_us - t->sent_us);
+        t->progress_us = b->now.mono_us;
+        if (!b->opts.disabled[BROKER_FEATURE_SLOW]) {
+            judge_pace(u, job, t, b->now.mono_us - t->start_sent_us);
         }
         return;
     }
-    still_us = b->now.mono_us - t->percent_us;
+    still_us = b->now.mono_us - t->progress_us;
     if (still_us > STALL_MIN_US && (double)still_us > allowed &&
-        !b->opts.without[BROKER_PART_STALLED]) {
+        !b->opts.disabled[BROKER_FEATURE_STALLED]) {
         b->counters.tasks_stalled++;
         broker_log(b, LOG_NOTICE, BROKER_RUN_STALLED, job->id,
-                   runs_label(job, t), u->name,
+                   run_task_number(job, t), u->name,
                    "run %llu at %u %% for %lld ms", (unsigned long long)t->run,
                    percent, (long long)(still_us / USEC_PER_MSEC));
         trust_failed(b, u);
-        t->avoid = u->name;
+        t->avoid_upstream = u->name;
         lease_stop(b, u, job, t);
     }
 }
@@ -274,25 +276,25 @@
         if (i > u->n_tasks) {
             continue; /* settling one may have ended its job */
         }
-        t = runs_task(b, &u->tasks[i - 1], &job);
+        t = run_find_task(b, &u->tasks[i - 1], &job);
         if (is_running(a, lease_ref(job, t))) {
             continue;
         }
-        stopped = t->settle_us <= sent_us;
-        late = t->sent_us + late_us < sent_us;
+        stopped = t->stop_confirmed_us <= sent_us;
+        late = t->start_sent_us + late_us < sent_us;
         /* Seen running before, and now gone without an end: the list of ends
          * is cut off at some length; it is in the next one. */
         if (!(stopped || late) ||
             (t->state == RUN_RUNNING && a->n_ended > 0)) {
             continue;
         }
-        broker_log(b, LOG_INFO, BROKER_RUN_SETTLED, job->id,
-                   runs_label(job, t), u->name,
-                   "run %llu, %s, sent %lld ms ago",
-                   (unsigned long long)t->run,
-                   stopped ? "its stop was confirmed" : "too late to start",
-                   (long long)((b->now.mono_us - t->sent_us) / USEC_PER_MSEC));
-        runs_ready(b, job, t);
+        broker_log(
+            b, LOG_INFO, BROKER_RUN_SETTLED, job->id, run_task_number(job, t),
+            u->name, "run %llu, %s, sent %lld ms ago",
+            (unsigned long long)t->run,
+            stopped ? "its stop was confirmed" : "too late to start",
+            (long long)((b->now.mono_us - t->start_sent_us) / USEC_PER_MSEC));
+        run_mark_ready(b, job, t);
     }
 }
 
@@ -301,10 +303,10 @@
 {
     for (size_t i = 0; i < u->n_tasks; i++) {
         struct run_job *job;
-        struct run_task *t = runs_task(b, &u->tasks[i], &job);
+        struct run_task *t = run_find_task(b, &u->tasks[i], &job);
 
-        if (t->state == RUN_STOPPING && t->settle_us == INT64_MAX &&
-            b->now.mono_us - t->stop_us >= STOP_AGAIN_US) {
+        if (t->state == RUN_STOPPING && t->stop_confirmed_us == INT64_MAX &&
+            b->now.mono_us - t->stop_sent_us >= STOP_AGAIN_US) {
             lease_stop(b, u, job, t);
         }
     }
@@ -335,7 +337,7 @@
     take_ends(b, u, a);
     if (stale) {
         /* A peek that was answered meanwhile knew better what runs. */
-        hold_answered(b, u, u->strangers);
+        hold_answered(b, u, u->unknown_runs);
         return;
     }
     strangers = take_running(b, u, a);
@@ -353,32 +355,32 @@
               struct run_task *t, enum lease_result result)
 {
     b->counters.starts_refused++;
-    broker_log(b, LOG_INFO, BROKER_START_REFUSED, job->id, runs_label(job, t),
-               u->name, "run %llu: %s", (unsigned long long)t->run,
-               lease_result_text(result));
+    broker_log(b, LOG_INFO, BROKER_START_REFUSED, job->id,
+               run_task_number(job, t), u->name, "run %llu: %s",
+               (unsigned long long)t->run, lease_result_text(result));
     if (result == LEASE_NO_ROOM) {
-        u->room_us = b->now.mono_us + NO_ROOM_US;
-        u->look_us = u->look == 0 ? b->now.mono_us : u->look_us;
+        u->full_until_us = b->now.mono_us + NO_ROOM_US;
+        u->poll_us = u->poll == 0 ? b->now.mono_us : u->poll_us;
     }
     else if (result == LEASE_UNHEALTHY || result == LEASE_UNSENT ||
              result == LEASE_OTHER_LIFE) {
         trust_failed(b, u);
-        t->avoid = u->name;
+        t->avoid_upstream = u->name;
     }
     if (result == LEASE_BAD) {
-        runs_failed(b, job, t);
+        run_mark_failed(b, job, t);
         return;
     }
-    runs_ready(b, job, t);
+    run_mark_ready(b, job, t);
 }
 
 static void
 note_lost(struct broker_upstream *u, struct run_task *t)
 {
-    t->lost_at = u->self;
-    t->lost_fence = u->fence;
-    t->lost_until_us = t->sent_us + LATE_START_US;
-    u->lost_until_us = t->lost_until_us;
+    t->lost_start_upstream = u->self;
+    t->lost_start_fence = u->fence;
+    t->lost_start_until_us = t->start_sent_us + LATE_START_US;
+    u->lost_start_until_us = t->lost_start_until_us;
 }
 
 static void
@@ -390,24 +392,24 @@
     }
     switch (result) {
     case LEASE_OK:
-        histogram_add(&b->histograms.start, b->now.mono_us - t->sent_us);
+        histogram_add(&b->histograms.start, b->now.mono_us - t->start_sent_us);
         if (t->state == RUN_STARTING) {
             t->state = RUN_RUNNING;
-            t->percent_us = b->now.mono_us;
+            t->progress_us = b->now.mono_us;
         }
         break;
     case LEASE_LOST:
         b->counters.starts_lost++;
         broker_log(b, LOG_NOTICE, BROKER_START_LOST, job->id,
-                   runs_label(job, t), u->name, "run %llu",
+                   run_task_number(job, t), u->name, "run %llu",
                    (unsigned long long)t->run);
         if (b->opts.breaks[BROKER_BREAK_PLACE_LOST]) {
-            runs_ready(b, job, t);
+            run_mark_ready(b, job, t);
             break;
         }
         note_lost(u, t);
-        if (b->opts.without[BROKER_PART_LOST_STARTS]) {
-            t->state = RUN_UNSETTLED;
+        if (b->opts.disabled[BROKER_FEATURE_LOST_STARTS]) {
+            t->state = RUN_UNRESOLVED;
             break;
         }
         lease_stop(b, u, job, t);
@@ -424,11 +426,11 @@
     struct broker_upstream *u = table_get(&b->upstreams, t->upstream);
 
     if (t->state == RUN_STOPPING && result == LEASE_OK) {
-        t->settle_us = b->now.mono_us;
-        u->peek_due = true;
+        t->stop_confirmed_us = b->now.mono_us;
+        u->quick_poll_due = true;
     }
     else if (t->state == RUN_STOPPING && result == LEASE_LOST) {
-        u->peek_due = true; /* sends it again, if need be */
+        u->quick_poll_due = true; /* sends it again, if need be */
     }
 }
 
@@ -506,7 +508,7 @@
 }
 
 void
-answer_on_called(struct broker *b, const struct bev_called *called)
+answer_on_call_end(struct broker *b, const struct bev_called *called)
 {
     struct broker_call *found =
         table_get(&b->calls, handle_of_number(called->call));
@@ -525,18 +527,18 @@
     if (u == NULL) {
         return;
     }
-    if (u->look == called->call) {
-        u->look = 0;
+    if (u->poll == called->call) {
+        u->poll = 0;
     }
-    if (u->peek == called->call) {
-        u->peek = 0;
+    if (u->quick_poll == called->call) {
+        u->quick_poll = 0;
         peek = true;
     }
     /* Of before it was taken anew: its clock and lists are another's. */
     if (c.born_ms != u->born_ms || c.fence != u->fence) {
-        if (u->state == HOLD_TAKING && u->look == 0 &&
-            u->look_us == INT64_MAX) {
-            u->look_us = b->now.mono_us;
+        if (u->state == HOLD_TAKING && u->poll == 0 &&
+            u->poll_us == INT64_MAX) {
+            u->poll_us = b->now.mono_us;
         }
         return;
     }
--- a/src/broker_caller.c
+++ b/src/broker_caller.c
@@ -98,11 +98,12 @@
     char detail[DETAIL_SIZE];
 
     histogram_add(&b->histograms.request[outcome],
-                  b->now.mono_us - c->taken_us);
+                  b->now.mono_us - c->accepted_us);
     (void)snprintf(
         detail, sizeof(detail), "queue %s, runner %s, after %lld ms, %u moves",
         c->offer.u.job_offer.queue.s, c->runner.s,
-        (long long)((b->now.mono_us - c->taken_us) / USEC_PER_MSEC), c->moves);
+        (long long)((b->now.mono_us - c->accepted_us) / USEC_PER_MSEC),
+        c->reoffers);
     answer(b, c->request, c->offer.u.job_offer.id, outcome, reason, retry_us,
            detail);
     drop_job(b, c);
@@ -114,7 +115,7 @@
 load_of(const struct broker_peer *p, struct name service)
 {
     for (size_t i = 0; i < p->n_loads; i++) {
-        if (name_equal(p->loads[i].told.service, service)) {
+        if (name_equal(p->loads[i].reported.service, service)) {
             return &p->loads[i];
         }
     }
@@ -138,11 +139,11 @@
 static uint64_t
 wanted_there(const struct broker_load *l, const struct rec_job_offer *o)
 {
-    uint64_t ahead = o->priority == 0   ? l->told.queued0_milli
-                     : o->priority == 1 ? l->told.queued1_milli
-                                        : l->told.queued2_milli;
+    uint64_t ahead = o->priority == 0   ? l->reported.queued0_milli
+                     : o->priority == 1 ? l->reported.queued1_milli
+                                        : l->reported.queued2_milli;
 
-    return ahead + l->added_milli + cpu_of(o);
+    return ahead + l->sent_milli + cpu_of(o);
 }
 
 /* Until all tasks of the job's first groups have room there: what is free now,
@@ -152,13 +153,14 @@
 {
     uint64_t wanted = wanted_there(l, o);
 
-    if (wanted <= l->told.free_milli) {
+    if (wanted <= l->reported.free_milli) {
         return 0;
     }
-    if (l->told.rate == 0) {
+    if (l->reported.rate == 0) {
         return LOST_RUNNER_US;
     }
-    return (int64_t)((wanted - l->told.free_milli) * 1000 / l->told.rate);
+    return (int64_t)((wanted - l->reported.free_milli) * 1000 /
+                     l->reported.rate);
 }
 
 /* Milli-cores that are left there when the job has started; at least one, so
@@ -168,7 +170,9 @@
 {
     uint64_t wanted = wanted_there(l, o);
 
-    return wanted < l->told.free_milli ? l->told.free_milli - wanted + 1 : 1;
+    return wanted < l->reported.free_milli
+               ? l->reported.free_milli - wanted + 1
+               : 1;
 }
 
 /* Brokers that were tried are not tried again: they returned it for a reason
@@ -190,7 +194,7 @@
         if (l == NULL || !peers_runs_jobs(p) || name_equal(p->name, except)) {
             continue;
         }
-        if (b->opts.without[BROKER_PART_OTHER_ZONES] &&
+        if (b->opts.disabled[BROKER_FEATURE_OTHER_ZONES] &&
             !name_equal(p->zone, b->opts.zone)) {
             continue;
         }
@@ -215,7 +219,7 @@
 {
     struct broker_load *l = load_of(p, o->service);
 
-    l->added_milli += cpu_of(o);
+    l->sent_milli += cpu_of(o);
 }
 
 static bool
@@ -232,13 +236,13 @@
     c->runner = p->name;
     c->confirmed_us = b->now.mono_us;
     o->heard_us = renew_sure_us(b, p);
-    o->age_us = (uint64_t)(b->now.mono_us - c->taken_us);
+    o->age_us = (uint64_t)(b->now.mono_us - c->accepted_us);
     o->deadline_us = (uint64_t)(c->deadline_us - b->now.mono_us);
     copy = msg_copy(&c->offer);
     broker_send(b, p->name, &copy);
     broker_log(b, LOG_DEBUG, BROKER_OFFERED, o->id, -1, p->name,
                "queue %s, %zu groups, move %u", o->queue.s, o->n_groups,
-               c->moves);
+               c->reoffers);
     return true;
 }
 
@@ -249,7 +253,7 @@
 static bool
 runner_expected(const struct broker *b)
 {
-    return b->now.mono_us < broker_start_over_us(b);
+    return b->now.mono_us < broker_startup_end_us(b);
 }
 
 static void
@@ -266,7 +270,7 @@
     struct handle h;
     uint32_t at = 0;
 
-    b->runners_changed = false;
+    b->runners_updated = false;
     while ((c = table_next(&b->caller_jobs, &at, &h)) != NULL) {
         if (is_offered(c)) {
             continue;
@@ -310,7 +314,7 @@
 static bool
 ends_before_stop(const struct broker *b, const struct bev_submit *s)
 {
-    int64_t left = b->stop_us + b->opts.stop_us - b->now.mono_us;
+    int64_t left = b->stop_begun_us + b->opts.stop_timeout_us - b->now.mono_us;
     uint64_t declared = 0;
 
     for (size_t i = 0; i < s->n_groups; i++) {
@@ -322,16 +326,17 @@
 static enum broker_reason
 refuse_at_once(const struct broker *b, const struct bev_submit *s)
 {
-    int64_t since = b->now.mono_us - b->stop_us;
+    int64_t since = b->now.mono_us - b->stop_begun_us;
 
-    if (b->stopping && since >= b->opts.quit_us && !ends_before_stop(b, s)) {
+    if (b->stopping && since >= b->opts.stop_accept_us &&
+        !ends_before_stop(b, s)) {
         return BROKER_STOPPING;
     }
     return b->queues == NULL ? BROKER_NO_CONFIG : BROKER_NONE;
 }
 
 void
-callers_submit(struct broker *b, const struct bev_submit *s)
+caller_on_submit(struct broker *b, const struct bev_submit *s)
 {
     enum broker_reason reason = refuse_at_once(b, s);
     struct handle h;
@@ -350,7 +355,7 @@
     c = table_add(&b->caller_jobs, &h);
     c->self = h;
     c->request = s->request;
-    c->taken_us = b->now.mono_us;
+    c->accepted_us = b->now.mono_us;
     c->deadline_us = b->now.mono_us + timeout_us;
     fill_offer(c, s);
     timers_add(&b->caller_timers, c->deadline_us, h);
@@ -376,7 +381,7 @@
 }
 
 void
-callers_gone(struct broker *b, uint64_t request)
+caller_on_disconnect(struct broker *b, uint64_t request)
 {
     struct caller_job *c;
     struct handle h;
@@ -385,10 +390,10 @@
     while ((c = table_next(&b->caller_jobs, &at, &h)) != NULL) {
         if (c->request == request) {
             b->counters.jobs_abandoned++;
-            broker_log(
-                b, LOG_INFO, BROKER_CALLER_LEFT, c->offer.u.job_offer.id, -1,
-                c->runner, "after %lld ms",
-                (long long)((b->now.mono_us - c->taken_us) / USEC_PER_MSEC));
+            broker_log(b, LOG_INFO, BROKER_CALLER_LEFT,
+                       c->offer.u.job_offer.id, -1, c->runner, "after %lld ms",
+                       (long long)((b->now.mono_us - c->accepted_us) /
+                                   USEC_PER_MSEC));
             tell_drop(b, c);
             drop_job(b, c);
             return;
@@ -397,7 +402,7 @@
 }
 
 void
-callers_cancel(struct broker *b, const struct bev_cancel *cancel)
+caller_on_cancel(struct broker *b, const struct bev_cancel *cancel)
 {
     struct be_answer *a;
     struct caller_job *c;
@@ -419,7 +424,8 @@
 }
 
 void
-callers_on_end(struct broker *b, struct name from, const struct rec_job_end *e)
+caller_on_job_end(struct broker *b, struct name from,
+                  const struct rec_job_end *e)
 {
     struct caller_job *c =
         table_get(&b->caller_jobs, handle_of_number(e->number));
@@ -430,8 +436,8 @@
         return;
     }
     reason = (enum broker_reason)e->reason;
-    if (e->outcome == JOB_RETURNED_OUTCOME && c->moves < MOVES_MAX) {
-        c->moves++;
+    if (e->outcome == JOB_RETURNED_OUTCOME && c->reoffers < MOVES_MAX) {
+        c->reoffers++;
         b->counters.jobs_moved++;
         if (offer(b, c, from)) {
             return;
@@ -450,7 +456,7 @@
  * not offered to anybody else: its caller hears at once that the outcome is
  * not known and hands it in again when that time is over. */
 void
-callers_runner_lost(struct broker *b, struct name runner)
+caller_on_runner_lost(struct broker *b, struct name runner)
 {
     struct caller_job *c;
     struct handle h;
@@ -467,11 +473,11 @@
 }
 
 void
-callers_tick(struct broker *b)
+caller_tick(struct broker *b)
 {
     struct handle h;
 
-    if (b->n_unoffered > 0 && (b->runners_changed || !runner_expected(b))) {
+    if (b->n_unoffered > 0 && (b->runners_updated || !runner_expected(b))) {
         offer_waiting(b);
     }
     while (timers_pop(&b->caller_timers, b->now.mono_us, &h)) {
@@ -485,10 +491,10 @@
 }
 
 int64_t
-callers_next_us(const struct broker *b)
+caller_next_us(const struct broker *b)
 {
     int64_t at = timers_next_us(&b->caller_timers);
-    int64_t over = broker_start_over_us(b);
+    int64_t over = broker_startup_end_us(b);
 
     return b->n_unoffered > 0 && over < at ? over : at;
 }
--- a/src/broker_config.c
+++ b/src/broker_config.c
@@ -30,15 +30,15 @@
     uint64_t newest = b->config_version;
 
     for (const struct broker_peer *p = b->peers; p != NULL; p = p->next) {
-        if (p->up && p->told_version > newest) {
-            newest = p->told_version;
+        if (p->up && p->reported_version > newest) {
+            newest = p->reported_version;
         }
     }
-    return newest > b->fetch.unreadable ? newest : b->config_version;
+    return newest > b->fetch.unreadable_version ? newest : b->config_version;
 }
 
 bool
-broker_config_behind(const struct broker *b)
+broker_config_outdated(const struct broker *b)
 {
     return newest_told(b) > b->config_version;
 }
@@ -48,7 +48,7 @@
 static bool
 fetching(const struct broker *b)
 {
-    return !name_empty(b->fetch.from);
+    return !name_empty(b->fetch.source);
 }
 
 static void
@@ -60,13 +60,13 @@
     r->have_version = b->config_version;
     r->incarnation = b->opts.incarnation;
     r->zone = b->opts.zone;
-    r->has_text = b->config_text != NULL && !b->fetch.whole ? 1 : 0;
+    r->has_text = b->config_text != NULL && !b->fetch.full_text ? 1 : 0;
     r->version_only = version_only ? 1 : 0;
     r->known_version = b->config_version;
-    if (version_only && p->told_version > b->config_version) {
-        r->known_version = p->told_version;
+    if (version_only && p->reported_version > b->config_version) {
+        r->known_version = p->reported_version;
     }
-    p->poll_us = b->now.mono_us + POLL_AGAIN_US;
+    p->config_poll_us = b->now.mono_us + POLL_AGAIN_US;
     broker_send(b, p->name, &m);
 }
 
@@ -80,7 +80,7 @@
 static int
 cost(const struct broker *b, const struct broker_peer *p)
 {
-    return (p->slow ? 2 : 0) + (is_near(b, p) ? 0 : 1);
+    return (p->fetch_timed_out ? 2 : 0) + (is_near(b, p) ? 0 : 1);
 }
 
 /* One of those that told of @version, drawn among the best. */
@@ -91,7 +91,7 @@
     uint64_t alike = 0;
 
     for (struct broker_peer *p = b->peers; p != NULL; p = p->next) {
-        if (!p->up || p->told_version < version) {
+        if (!p->up || p->reported_version < version) {
             continue;
         }
         if (best == NULL || cost(b, p) < cost(b, best)) {
@@ -110,7 +110,7 @@
 near_registry_up(const struct broker *b)
 {
     for (const struct broker_peer *p = b->peers; p != NULL; p = p->next) {
-        if (p->registry && p->up && !p->slow && is_near(b, p)) {
+        if (p->registry && p->up && !p->fetch_timed_out && is_near(b, p)) {
             return true;
         }
     }
@@ -120,25 +120,25 @@
 static void
 give_up_source(struct broker *b)
 {
-    struct broker_peer *p = peers_find(b, b->fetch.from);
+    struct broker_peer *p = peers_find(b, b->fetch.source);
 
-    broker_log(b, LOG_WARNING, BROKER_CONFIG_LATE, 0, -1, b->fetch.from,
+    broker_log(b, LOG_WARNING, BROKER_CONFIG_LATE, 0, -1, b->fetch.source,
                "nothing came in %lld ms",
-               (long long)(b->fetch.patience_us / USEC_PER_MSEC));
+               (long long)(b->fetch.timeout_us / USEC_PER_MSEC));
     if (p != NULL) {
-        p->slow = true;
+        p->fetch_timed_out = true;
     }
-    b->fetch.from = name_of("");
-    b->fetch.patience_us *= FETCH_GROWTH;
+    b->fetch.source = name_of("");
+    b->fetch.timeout_us *= FETCH_GROWTH;
 }
 
 /* Nothing newer is known of: whoever was asked before need not answer. */
 static void
 end_fetch(struct config_fetch *f)
 {
-    f->from = name_of("");
-    f->heard_us = 0;
-    f->patience_us = FETCH_US;
+    f->source = name_of("");
+    f->first_reported_us = 0;
+    f->timeout_us = FETCH_US;
 }
 
 static void
@@ -148,11 +148,11 @@
     struct broker_peer *source = choose_source(b, version);
 
     if (!is_near(b, source) && near_registry_up(b) &&
-        b->now.mono_us < f->heard_us + NEAR_US) {
+        b->now.mono_us < f->first_reported_us + NEAR_US) {
         return;
     }
-    f->from = source->name;
-    f->due_us = b->now.mono_us + f->patience_us;
+    f->source = source->name;
+    f->timeout_at_us = b->now.mono_us + f->timeout_us;
     ask(b, source, false);
 }
 
@@ -161,7 +161,7 @@
 {
     uint64_t newest = newest_told(b);
 
-    if (fetching(b) && b->now.mono_us >= b->fetch.due_us) {
+    if (fetching(b) && b->now.mono_us >= b->fetch.timeout_at_us) {
         give_up_source(b);
     }
     if (newest == b->config_version) {
@@ -171,7 +171,7 @@
         begin_fetch(b, newest);
     }
     for (struct broker_peer *p = b->peers; p != NULL; p = p->next) {
-        if (p->registry && p->up && b->now.mono_us >= p->poll_us) {
+        if (p->registry && p->up && b->now.mono_us >= p->config_poll_us) {
             ask(b, p, true);
         }
     }
@@ -183,14 +183,14 @@
     int64_t at = INT64_MAX;
 
     if (fetching(b)) {
-        at = b->fetch.due_us;
+        at = b->fetch.timeout_at_us;
     }
-    else if (b->fetch.heard_us > 0) {
-        at = b->fetch.heard_us + NEAR_US;
+    else if (b->fetch.first_reported_us > 0) {
+        at = b->fetch.first_reported_us + NEAR_US;
     }
     for (const struct broker_peer *p = b->peers; p != NULL; p = p->next) {
-        if (p->registry && p->up && p->poll_us < at) {
-            at = p->poll_us;
+        if (p->registry && p->up && p->config_poll_us < at) {
+            at = p->config_poll_us;
         }
     }
     return at;
@@ -199,10 +199,10 @@
 void
 config_registry_lost(struct broker *b, struct broker_peer *p)
 {
-    p->told_version = 0;
-    p->slow = false;
-    if (name_equal(b->fetch.from, p->name)) {
-        b->fetch.from = name_of("");
+    p->reported_version = 0;
+    p->fetch_timed_out = false;
+    if (name_equal(b->fetch.source, p->name)) {
+        b->fetch.source = name_of("");
     }
 }
 
@@ -232,11 +232,12 @@
     enum queueconf_fault fault = QUEUECONF_OK;
     struct queueconf *queues =
         b->opts.read_config(text->data, text->size, &fault);
-    int64_t heard_us =
-        b->fetch.heard_us > 0 ? b->fetch.heard_us : b->now.mono_us;
+    int64_t heard_us = b->fetch.first_reported_us > 0
+                           ? b->fetch.first_reported_us
+                           : b->now.mono_us;
 
     if (queues == NULL) {
-        b->fetch.unreadable = r->version;
+        b->fetch.unreadable_version = r->version;
         broker_log(b, LOG_ERR, BROKER_CONFIG_BAD, 0, -1, from,
                    "version %llu: %s", (unsigned long long)r->version,
                    queueconf_fault_text(fault));
@@ -263,15 +264,15 @@
     struct blob *text;
 
     b->counters.config_bytes += reply_bytes(r);
-    if (name_equal(b->fetch.from, from)) {
-        b->fetch.from = name_of("");
+    if (name_equal(b->fetch.source, from)) {
+        b->fetch.source = name_of("");
     }
     if (r->version <= b->config_version) {
         ignore_text(b, from, r);
         return;
     }
     text = textpack_read_reply(r, b->config_text, b->config_version);
-    b->fetch.whole = text == NULL;
+    b->fetch.full_text = text == NULL;
     if (text != NULL) {
         apply_text(b, from, r, text);
     }
@@ -287,17 +288,17 @@
     if (p == NULL) {
         return;
     }
-    p->poll_us = b->now.mono_us;
-    p->told_version =
-        r->version > p->told_version ? r->version : p->told_version;
+    p->config_poll_us = b->now.mono_us;
+    p->reported_version =
+        r->version > p->reported_version ? r->version : p->reported_version;
     if (r->zone.s[0] != '\0') {
         p->zone = r->zone;
     }
     if (r->config != NULL) {
-        p->slow = false;
+        p->fetch_timed_out = false;
         take_text(b, from, r);
     }
-    if (broker_config_behind(b) && b->fetch.heard_us == 0) {
-        b->fetch.heard_us = b->now.mono_us;
+    if (broker_config_outdated(b) && b->fetch.first_reported_us == 0) {
+        b->fetch.first_reported_us = b->now.mono_us;
     }
 }
--- a/src/broker_effect.c
+++ b/src/broker_effect.c
@@ -34,7 +34,8 @@
 {
     struct broker_effect *f;
 
-    fx->items = array_grow(fx->items, fx->n, &fx->room, sizeof(*fx->items));
+    fx->items =
+        array_grow(fx->items, fx->n, &fx->capacity, sizeof(*fx->items));
     f = &fx->items[fx->n++];
     memset(f, 0, sizeof(*f));
     f->kind = kind;
--- a/src/broker_effect.h
+++ b/src/broker_effect.h
@@ -193,7 +193,7 @@
 struct broker_effects {
     struct broker_effect *items;
     size_t n;
-    size_t room;
+    size_t capacity;
 };
 
 /** broker_effects_add() - appends a zeroed effect; the pointer holds until the
--- a/src/broker_event.h
+++ b/src/broker_event.h
@@ -85,13 +85,13 @@
  * struct broker_event - what happens
  * @kind: which of @u
  * @now: when
- * @callers_us: monotonic time; of all callers that left before it the broker
- *              has been told
+ * @callers_known_us: monotonic time; of all callers that left before it the
+ * broker has been told
  */
 struct broker_event {
     enum broker_event_kind kind;
     struct moment now;
-    int64_t callers_us;
+    int64_t callers_known_us;
     union {
         char none;
         struct bev_submit submit;
--- a/src/broker_hold.c
+++ b/src/broker_hold.c
@@ -50,12 +50,12 @@
 
     u->name = name;
     u->self = h;
-    u->spread = key_id_of(name.s).lo;
-    u->look_us = INT64_MAX;
+    u->hash = key_id_of(name.s).lo;
+    u->poll_us = INT64_MAX;
     u->slowness = 1.0;
-    u->told_us = b->now.mono_us;
+    u->last_reported_us = b->now.mono_us;
     map_put(&b->upstreams_by_name, u);
-    b->review = true;
+    b->review_due = true;
     return u;
 }
 
@@ -77,9 +77,10 @@
 static void
 tell_hold(struct broker *b, const struct broker_upstream *u)
 {
-    b->holds =
-        array_grow(b->holds, b->n_holds, &b->holds_room, sizeof(*b->holds));
-    b->holds[b->n_holds++] = told_as(u);
+    b->hold_updates =
+        array_grow(b->hold_updates, b->n_hold_updates,
+                   &b->hold_updates_capacity, sizeof(*b->hold_updates));
+    b->hold_updates[b->n_hold_updates++] = told_as(u);
 }
 
 /* Together: a broker that starts takes 32 upstreams in one step, and a message
@@ -90,16 +91,17 @@
     struct msg m = {.kind = MSG_UPSTREAM_HOLDS};
     struct rec_upstream_holds *list = &m.u.upstream_holds;
 
-    if (b->n_holds == 0) {
+    if (b->n_hold_updates == 0) {
         return;
     }
-    list->upstreams = calloc(b->n_holds, sizeof(*list->upstreams));
+    list->upstreams = calloc(b->n_hold_updates, sizeof(*list->upstreams));
     if (list->upstreams == NULL) {
         abort();
     }
-    memcpy(list->upstreams, b->holds, b->n_holds * sizeof(*b->holds));
-    list->n_upstreams = b->n_holds;
-    b->n_holds = 0;
+    memcpy(list->upstreams, b->hold_updates,
+           b->n_hold_updates * sizeof(*b->hold_updates));
+    list->n_upstreams = b->n_hold_updates;
+    b->n_hold_updates = 0;
     peers_send_zone(b, &m);
 }
 
@@ -130,7 +132,7 @@
 {
     b->counters.upstreams_fenced++;
     u->state = HOLD_LOST;
-    u->look_us = INT64_MAX;
+    u->poll_us = INT64_MAX;
 }
 
 /* Another broker has taken it under a higher fence since, while this one was
@@ -171,7 +173,7 @@
         else if (r->fence > u->fence && u->state != HOLD_LOST) {
             replaced(b, u, from, r->fence);
         }
-        b->review = true;
+        b->review_due = true;
     }
 }
 
@@ -211,14 +213,14 @@
 static void
 take_upstream(struct broker *b, struct broker_upstream *u)
 {
-    u->fence = next_fence(b, u) + (uint64_t)u->fenced * FENCE_STEP;
+    u->fence = next_fence(b, u) + (uint64_t)u->fence_retries * FENCE_STEP;
     u->state = HOLD_TAKING;
     u->holder = b->opts.self;
-    u->noted = 0;
-    u->unnoted = false;
-    u->misses = 0;
-    u->strangers = false;
-    u->look_us = b->now.mono_us;
+    u->last_end = 0;
+    u->ack_pending = false;
+    u->missed_polls = 0;
+    u->unknown_runs = false;
+    u->poll_us = b->now.mono_us;
     b->counters.upstreams_taken++;
     broker_log(b, LOG_INFO, BROKER_UPSTREAM_TAKEN, 0, -1, u->name,
                "fence %llu, life %llu", (unsigned long long)u->fence,
@@ -233,13 +235,14 @@
     while (u->n_tasks > 0) {
         struct placed_task p = u->tasks[u->n_tasks - 1];
         struct run_job *job;
-        struct run_task *t = runs_task(b, &p, &job);
+        struct run_task *t = run_find_task(b, &p, &job);
 
-        broker_log(b, LOG_NOTICE, why, job->id, runs_label(job, t), u->name,
-                   "run %llu, sent %lld ms ago", (unsigned long long)t->run,
-                   (long long)((b->now.mono_us - t->sent_us) / USEC_PER_MSEC));
+        broker_log(
+            b, LOG_NOTICE, why, job->id, run_task_number(job, t), u->name,
+            "run %llu, sent %lld ms ago", (unsigned long long)t->run,
+            (long long)((b->now.mono_us - t->start_sent_us) / USEC_PER_MSEC));
         b->counters.tasks_lapsed++;
-        runs_ready(b, job, t);
+        run_mark_ready(b, job, t);
     }
 }
 
@@ -248,7 +251,7 @@
 {
     u->state = HOLD_NONE;
     u->holder = name_of("");
-    u->look_us = INT64_MAX;
+    u->poll_us = INT64_MAX;
     b->counters.upstreams_released++;
     broker_log(b, LOG_INFO, BROKER_UPSTREAM_RELEASED, 0, -1, u->name,
                "fence %llu", (unsigned long long)u->fence);
@@ -261,8 +264,8 @@
 void
 hold_fenced(struct broker *b, struct broker_upstream *u)
 {
-    if (u->state == HOLD_TAKING && u->fenced < FENCED_MAX) {
-        u->fenced++;
+    if (u->state == HOLD_TAKING && u->fence_retries < FENCED_MAX) {
+        u->fence_retries++;
         take_upstream(b, u);
         return;
     }
@@ -270,7 +273,7 @@
                "our fence %llu", (unsigned long long)u->fence);
     mark_lost(b, u);
     u->holder = name_of("");
-    u->fenced = 0;
+    u->fence_retries = 0;
     u->fenced_view = b->view;
     tell_hold(b, u);
 }
@@ -290,7 +293,7 @@
     u->gone = false;
     u->clock_ms = 0;
     u->failures = 0;
-    u->until_us = 0;
+    u->quarantine_until_us = 0;
     u->backoff_us = 0;
     u->slowness = 1.0;
     if (is_held(u)) {
@@ -307,10 +310,10 @@
      * start would meet a higher fence. */
     drop_tasks(b, u, BROKER_RUN_LAPSED);
     u->state = HOLD_OPEN;
-    u->fenced = 0;
+    u->fence_retries = 0;
     /* At most, by whoever held it before. */
-    u->granted_us = b->now.mono_us + b->opts.lease_us;
-    u->service->place = true;
+    u->granted_until_us = b->now.mono_us + b->opts.lease_us;
+    u->service->placement_due = true;
     broker_log(b, LOG_INFO, BROKER_UPSTREAM_OPEN, 0, -1, u->name,
                "%u milli-cores, %u MB, life %llu", u->capacity.cpu_milli,
                u->capacity.memory_mb, (unsigned long long)u->born_ms);
@@ -319,41 +322,41 @@
 void
 hold_answered(struct broker *b, struct broker_upstream *u, bool strangers)
 {
-    u->misses = 0;
-    u->strangers = strangers;
+    u->missed_polls = 0;
+    u->unknown_runs = strangers;
     if (u->state == HOLD_TAKING && !strangers) {
         open_upstream(b, u);
     }
-    else if (u->state == HOLD_MUTE) {
+    else if (u->state == HOLD_UNRESPONSIVE) {
         u->state = HOLD_OPEN;
-        u->service->place = true;
+        u->service->placement_due = true;
         broker_log(b, LOG_NOTICE, BROKER_UPSTREAM_BACK, 0, -1, u->name,
                    "%zu tasks there", u->n_tasks);
     }
-    if (u->n_tasks > 0 || u->unnoted || u->state == HOLD_TAKING ||
-        u->strangers) {
-        u->look_us = b->now.mono_us;
+    if (u->n_tasks > 0 || u->ack_pending || u->state == HOLD_TAKING ||
+        u->unknown_runs) {
+        u->poll_us = b->now.mono_us;
     }
     else {
-        u->look_us = b->now.mono_us + IDLE_LOOK_US;
+        u->poll_us = b->now.mono_us + IDLE_LOOK_US;
     }
 }
 
 void
 hold_missed(struct broker *b, struct broker_upstream *u)
 {
-    u->misses++;
-    if (u->state == HOLD_OPEN && u->misses >= MISSES_MAX) {
-        u->state = HOLD_MUTE;
+    u->missed_polls++;
+    if (u->state == HOLD_OPEN && u->missed_polls >= MISSES_MAX) {
+        u->state = HOLD_UNRESPONSIVE;
         b->counters.upstreams_muted++;
         broker_log(b, LOG_WARNING, BROKER_UPSTREAM_MUTE, 0, -1, u->name,
-                   "%u looks without answer, %zu tasks there", u->misses,
+                   "%u looks without answer, %zu tasks there", u->missed_polls,
                    u->n_tasks);
     }
-    u->look_us = b->now.mono_us;
-    if (u->state == HOLD_MUTE || u->misses >= MISSES_MAX) {
-        u->look_us +=
-            b->now.mono_us < u->lost_until_us ? LOST_LOOK_US : MUTE_LOOK_US;
+    u->poll_us = b->now.mono_us;
+    if (u->state == HOLD_UNRESPONSIVE || u->missed_polls >= MISSES_MAX) {
+        u->poll_us += b->now.mono_us < u->lost_start_until_us ? LOST_LOOK_US
+                                                              : MUTE_LOOK_US;
     }
 }
 
@@ -382,7 +385,7 @@
     bool leaving = r->leaving != 0 || r->gone != 0;
 
     u->sequence = r->sequence;
-    u->service = runs_service(b, r->service);
+    u->service = run_get_service(b, r->service);
     u->zone = r->zone;
     u->address = r->address;
     u->slots = (uint32_t)r->slots;
@@ -398,7 +401,7 @@
     }
     u->leaving = leaving;
     u->gone = r->gone != 0;
-    u->service->place = true;
+    u->service->placement_due = true;
 }
 
 void
@@ -412,7 +415,7 @@
         if (u == NULL) {
             u = add(b, one->upstream);
         }
-        u->told_us = b->now.mono_us;
+        u->last_reported_us = b->now.mono_us;
         if (known && overtaken(u, one)) {
             continue;
         }
@@ -426,7 +429,7 @@
                        one->address.s);
         }
         take_report(b, u, one);
-        b->review = true;
+        b->review_due = true;
     }
 }
 
@@ -437,9 +440,9 @@
 {
     /* Not from the start: when everything starts at once, the first word of a
      * registry names only those that found it before us. */
-    return b->now.mono_us - b->started_us >= b->opts.settle_us ||
+    return b->now.mono_us - b->started_us >= b->opts.discovery_us ||
            (peers_zone_is_here(b) &&
-            b->now.mono_us - b->roster_us >= b->opts.settle_min_us);
+            b->now.mono_us - b->first_roster_us >= b->opts.discovery_min_us);
 }
 
 static bool
@@ -464,8 +467,8 @@
     uint32_t at = 0;
 
     while ((job = table_next(&b->run_jobs, &at, &h)) != NULL) {
-        if (job->service == u->service && !job->told && job->started &&
-            job->n_left > job->n_placed) {
+        if (job->service == u->service && !job->closed && job->started &&
+            job->n_unfinished > job->n_placed) {
             return true;
         }
     }
@@ -482,8 +485,8 @@
             open_upstream(b, u);
         }
     }
-    else if (!ours && is_held(u) && !b->lingers && u->n_tasks == 0 &&
-             !u->unnoted && !needed_by_started(b, u)) {
+    else if (!ours && is_held(u) && !b->draining && u->n_tasks == 0 &&
+             !u->ack_pending && !needed_by_started(b, u)) {
         let_go(b, u);
     }
 }
@@ -519,7 +522,7 @@
             review_one(b, u, false);
             continue;
         }
-        items[n].spread = u->spread;
+        items[n].spread = u->hash;
         items[n].holder = holder_index(b, u);
         items[n++].subject = u;
     }
@@ -595,16 +598,16 @@
 static void
 check_lapse(struct broker *b, struct broker_upstream *u)
 {
-    bool silent = u->state == HOLD_MUTE || u->state == HOLD_LOST ||
-                  (u->state == HOLD_TAKING && u->misses > 0);
+    bool silent = u->state == HOLD_UNRESPONSIVE || u->state == HOLD_LOST ||
+                  (u->state == HOLD_TAKING && u->missed_polls > 0);
 
-    if (!silent || b->now.mono_us < u->lapse_us) {
+    if (!silent || b->now.mono_us < u->leases_end_us) {
         return;
     }
     drop_tasks(b, u, BROKER_RUN_LAPSED);
     if (u->state == HOLD_LOST) {
         u->state = HOLD_NONE;
-        b->review = true;
+        b->review_due = true;
     }
 }
 
@@ -612,18 +615,18 @@
 forgettable(const struct broker *b, const struct broker_upstream *u)
 {
     /* One that a registry only remembered may never have answered. */
-    int64_t since_us = u->clock_us > 0 ? u->clock_us : u->told_us;
+    int64_t since_us = u->clock_us > 0 ? u->clock_us : u->last_reported_us;
     bool silent = b->now.mono_us - since_us > FORGET_US;
-    bool untold = b->now.mono_us - u->told_us > FORGET_US;
+    bool untold = b->now.mono_us - u->last_reported_us > FORGET_US;
 
-    if (u->n_tasks > 0 || u->look != 0) {
+    if (u->n_tasks > 0 || u->poll != 0) {
         return false;
     }
     /* Of what others hold only registries tell, all of it every 20 s. */
     if (u->state == HOLD_NONE && untold) {
         return true;
     }
-    return u->misses > 0 && (u->gone || silent);
+    return u->missed_polls > 0 && (u->gone || silent);
 }
 
 void
@@ -639,17 +642,17 @@
             forget(b, u);
             continue;
         }
-        if (u->look == 0 && b->now.mono_us >= u->look_us) {
+        if (u->poll == 0 && b->now.mono_us >= u->poll_us) {
             lease_look(b, u);
         }
-        else if (u->peek_due && u->peek == 0) {
+        else if (u->quick_poll_due && u->quick_poll == 0) {
             lease_peek(b, u);
         }
     }
     /* Nothing else may happen when the time to settle is over. */
-    if (!b->settled || b->stopping) {
-        b->settled = settled(b);
-        b->review = true;
+    if (!b->discovery_over || b->stopping) {
+        b->discovery_over = settled(b);
+        b->review_due = true;
     }
 }
 
@@ -662,19 +665,20 @@
     int64_t next = INT64_MAX;
 
     while ((u = table_next(&b->upstreams, &at, &h)) != NULL) {
-        if (u->look == 0 && u->look_us < next) {
-            next = u->look_us;
+        if (u->poll == 0 && u->poll_us < next) {
+            next = u->poll_us;
         }
-        if (u->n_tasks > 0 && u->state != HOLD_OPEN && u->lapse_us < next) {
-            next = u->lapse_us;
+        if (u->n_tasks > 0 && u->state != HOLD_OPEN &&
+            u->leases_end_us < next) {
+            next = u->leases_end_us;
         }
-        if (u->state == HOLD_LOST && u->lapse_us < next) {
-            next = u->lapse_us;
+        if (u->state == HOLD_LOST && u->leases_end_us < next) {
+            next = u->leases_end_us;
         }
     }
-    if (!b->settled) {
-        int64_t least = b->roster_us + b->opts.settle_min_us;
-        int64_t most = b->started_us + b->opts.settle_us;
+    if (!b->discovery_over) {
+        int64_t least = b->first_roster_us + b->opts.discovery_min_us;
+        int64_t most = b->started_us + b->opts.discovery_us;
 
         least = least > b->now.mono_us ? least : most;
         next = least < next ? least : next;
--- a/src/broker_lease.c
+++ b/src/broker_lease.c
@@ -29,9 +29,9 @@
 static int64_t
 answer_timeout_us(const struct broker *b)
 {
-    int64_t us = b->ack_us + ACK_DEVIATIONS * b->ack_dev_us;
+    int64_t us = b->ack_mean_us + ACK_DEVIATIONS * b->ack_dev_us;
 
-    if (b->ack_us == 0 || us > b->opts.call_timeout_us) {
+    if (b->ack_mean_us == 0 || us > b->opts.call_timeout_us) {
         return b->opts.call_timeout_us;
     }
     return us > ACK_MIN_US ? us : ACK_MIN_US;
@@ -84,7 +84,7 @@
     if (b->opts.breaks[BROKER_BREAK_LAPSE_EARLY]) {
         at = b->now.mono_us + b->opts.lease_us / 2;
     }
-    u->lapse_us = at > u->lapse_us ? at : u->lapse_us;
+    u->leases_end_us = at > u->leases_end_us ? at : u->leases_end_us;
 }
 
 /* A lease from now, or less where a job with tasks there may not run for so
@@ -100,7 +100,8 @@
         return 0;
     }
     until_us = b->now.mono_us + left_us;
-    u->granted_us = until_us > u->granted_us ? until_us : u->granted_us;
+    u->granted_until_us =
+        until_us > u->granted_until_us ? until_us : u->granted_until_us;
     extend_lapse(b, u, left_us);
     return clock_now_ms(b, u) + left_us / USEC_PER_MSEC;
 }
@@ -112,8 +113,8 @@
     const struct rec_task_group *g = &job->groups[t->group];
     struct placed_task *p;
 
-    u->tasks =
-        array_grow(u->tasks, u->n_tasks, &u->tasks_room, sizeof(*u->tasks));
+    u->tasks = array_grow(u->tasks, u->n_tasks, &u->tasks_capacity,
+                          sizeof(*u->tasks));
     p = &u->tasks[u->n_tasks++];
     p->job = job->self;
     p->task = (uint32_t)(t - job->tasks);
@@ -149,7 +150,7 @@
     struct lease_request *r;
     struct broker_call *c;
 
-    runs_started(b, job, t, u);
+    run_mark_started(b, job, t, u);
     place(u, job, t);
     r = call(b, u, LEASE_START, &c);
     c->job = job->self;
@@ -158,8 +159,8 @@
     r->task = lease_ref(job, t);
     r->spec = blob_ref(job->spec);
     r->deadline_ms = deadline_ms(b, u);
-    if (u->look == 0 && u->look_us > b->now.mono_us) {
-        u->look_us = b->now.mono_us;
+    if (u->poll == 0 && u->poll_us > b->now.mono_us) {
+        u->poll_us = b->now.mono_us;
     }
 }
 
@@ -181,8 +182,8 @@
            struct run_task *t)
 {
     t->state = RUN_STOPPING;
-    t->settle_us = INT64_MAX;
-    t->stop_us = b->now.mono_us;
+    t->stop_confirmed_us = INT64_MAX;
+    t->stop_sent_us = b->now.mono_us;
     if (u != NULL && u->state != HOLD_LOST) {
         lease_send_stop(b, u, lease_ref(job, t), job->self,
                         (uint32_t)(t - job->tasks));
@@ -200,8 +201,8 @@
 {
     bool running = false;
 
-    if (u->state != HOLD_OPEN || u->n_tasks == 0 || u->misses > 0) {
-        return (u->state == HOLD_TAKING && u->clock_ms > 0) || u->strangers
+    if (u->state != HOLD_OPEN || u->n_tasks == 0 || u->missed_polls > 0) {
+        return (u->state == HOLD_TAKING && u->clock_ms > 0) || u->unknown_runs
                    ? QUICK_LOOK_US
                    : 0;
     }
@@ -209,13 +210,13 @@
         const struct run_job *job = table_get(&b->run_jobs, u->tasks[i].job);
         const struct run_task *t = &job->tasks[u->tasks[i].task];
 
-        if (t->state == RUN_UNSETTLED || t->state == RUN_STOPPING ||
-            u->strangers) {
+        if (t->state == RUN_UNRESOLVED || t->state == RUN_STOPPING ||
+            u->unknown_runs) {
             return QUICK_LOOK_US;
         }
         running = running || t->state == RUN_RUNNING;
     }
-    return running ? b->opts.look_us : QUICK_LOOK_US;
+    return running ? b->opts.poll_wait_us : QUICK_LOOK_US;
 }
 
 void
@@ -225,13 +226,13 @@
     struct broker_call *c;
     struct lease_request *r = call(b, u, LEASE_LOOK, &c);
 
-    u->look = handle_number(c->self);
-    u->look_us = INT64_MAX;
-    r->noted = u->noted;
+    u->poll = handle_number(c->self);
+    u->poll_us = INT64_MAX;
+    r->noted = u->last_end;
     r->wait_ms = wait_us / USEC_PER_MSEC;
     r->timeout_us = answer_timeout_us(b) + wait_us;
     r->deadline_ms = extends(u) ? deadline_ms(b, u) : 0;
-    u->unnoted = false;
+    u->ack_pending = false;
     b->counters.looks++;
 }
 
@@ -241,9 +242,9 @@
     struct broker_call *c;
     struct lease_request *r = call(b, u, LEASE_LOOK, &c);
 
-    u->peek = handle_number(c->self);
-    u->peek_due = false;
-    r->noted = u->noted;
+    u->quick_poll = handle_number(c->self);
+    u->quick_poll_due = false;
+    r->noted = u->last_end;
     r->timeout_us = b->opts.call_timeout_us;
     b->counters.looks++;
 }
--- a/src/broker_linger.c
+++ b/src/broker_linger.c
@@ -19,49 +19,50 @@
 static int64_t
 over_us(const struct broker *b)
 {
-    return b->stop_us + b->opts.stop_us - LAST_RUNS_US;
+    return b->stop_begun_us + b->opts.stop_timeout_us - LAST_RUNS_US;
 }
 
 void
 linger_begin(struct broker *b)
 {
-    b->lingers = hold_any(b) && !peers_successor(b);
-    if (b->lingers) {
-        b->load_us = b->now.mono_us; /* the others must know at once */
+    b->draining = hold_any(b) && !peers_successor(b);
+    if (b->draining) {
+        b->next_load_us = b->now.mono_us; /* the others must know at once */
         broker_log(b, LOG_NOTICE, BROKER_LINGERS, 0, -1, b->opts.self,
                    "nobody in %s takes over", b->opts.zone.s);
     }
     else {
-        runs_return(b);
+        run_return_unstarted(b);
     }
 }
 
 void
 linger_tick(struct broker *b)
 {
-    if (!b->lingers ||
+    if (!b->draining ||
         (b->now.mono_us < over_us(b) && hold_any(b) && !peers_successor(b))) {
         return;
     }
-    b->lingers = false;
-    b->review = true;
-    b->load_us = b->now.mono_us;
+    b->draining = false;
+    b->review_due = true;
+    b->next_load_us = b->now.mono_us;
     broker_log(b, LOG_NOTICE, BROKER_LINGERED, 0, -1, b->opts.self,
                "%zu run here", b->run_jobs.n);
-    runs_return(b);
+    run_return_unstarted(b);
 }
 
 int64_t
 linger_next_us(const struct broker *b)
 {
-    return b->lingers ? over_us(b) : INT64_MAX;
+    return b->draining ? over_us(b) : INT64_MAX;
 }
 
 bool
 linger_takes(const struct broker *b, const struct run_job *job)
 {
-    int64_t chain_us = job->objective_us - job->start_by_us;
-    int64_t left_us = b->stop_us + b->opts.stop_us - b->now.mono_us;
+    int64_t chain_us = job->objective_us - job->latest_start_us;
+    int64_t left_us =
+        b->stop_begun_us + b->opts.stop_timeout_us - b->now.mono_us;
 
-    return b->lingers && CAUTION * chain_us < left_us - LAST_RUNS_US / 2;
+    return b->draining && CAUTION * chain_us < left_us - LAST_RUNS_US / 2;
 }
--- a/src/broker_order.c
+++ b/src/broker_order.c
@@ -50,24 +50,24 @@
 /* Farther than any deadline, and small enough to be multiplied. */
 #define NEVER_US (INT64_C(1) << 50)
 
-static struct queue_history *
+static struct queue_stats *
 history_of(struct broker_service *s, struct name queue)
 {
-    struct queue_history *more;
+    struct queue_stats *more;
 
-    for (size_t i = 0; i < s->n_history; i++) {
-        if (name_equal(s->history[i].queue, queue)) {
-            return &s->history[i];
+    for (size_t i = 0; i < s->n_stats; i++) {
+        if (name_equal(s->stats[i].queue, queue)) {
+            return &s->stats[i];
         }
     }
-    more = realloc(s->history, (s->n_history + 1) * sizeof(*more));
+    more = realloc(s->stats, (s->n_stats + 1) * sizeof(*more));
     if (more == NULL) {
         abort();
     }
-    s->history = more;
-    memset(&more[s->n_history], 0, sizeof(*more));
-    more[s->n_history].queue = queue;
-    return &s->history[s->n_history++];
+    s->stats = more;
+    memset(&more[s->n_stats], 0, sizeof(*more));
+    more[s->n_stats].queue = queue;
+    return &s->stats[s->n_stats++];
 }
 
 int64_t
@@ -132,12 +132,12 @@
     job->work = work_of(job);
     job->objective_us = b->now.mono_us - (int64_t)o->age_us + objective;
     job->deadline_us = b->now.mono_us + (int64_t)o->deadline_us;
-    job->start_by_us = job->objective_us - chain;
-    job->ahead_us = b->opts.without[BROKER_PART_LATEST_START]
-                        ? job->arrived_us
-                        : job->start_by_us;
-    if (!b->opts.without[BROKER_PART_PRIORITY]) {
-        job->ahead_us += PRIORITY_US * (int64_t)job->priority;
+    job->latest_start_us = job->objective_us - chain;
+    job->queue_key_us = b->opts.disabled[BROKER_FEATURE_LATEST_START]
+                            ? job->arrived_us
+                            : job->latest_start_us;
+    if (!b->opts.disabled[BROKER_FEATURE_PRIORITY]) {
+        job->queue_key_us += PRIORITY_US * (int64_t)job->priority;
     }
 }
 
@@ -150,11 +150,11 @@
     /* What was begun is ended first: among the late ones its last tasks would
      * wait for ever behind jobs that find no spare room. */
     if (job->started) {
-        job->ahead_us = job->start_by_us;
+        job->queue_key_us = job->latest_start_us;
     }
     TAILQ_FOREACH_REVERSE(other, &s->queue, run_queue, link)
     {
-        if (other->ahead_us <= job->ahead_us) {
+        if (other->queue_key_us <= job->queue_key_us) {
             break;
         }
     }
@@ -166,7 +166,7 @@
     }
     job->queued = true;
     s->n_queued++;
-    s->place = true;
+    s->placement_due = true;
 }
 
 void
@@ -206,7 +206,7 @@
     r->unused += u->capacity.cpu_milli - u->used.cpu_milli;
     for (size_t i = 0; i < u->n_tasks; i++) {
         struct run_job *job;
-        const struct run_task *t = runs_task(b, &u->tasks[i], &job);
+        const struct run_task *t = run_find_task(b, &u->tasks[i], &job);
 
         add_held(r, (double)job->groups[t->group].cpu_milli, t->expected_us);
     }
@@ -222,7 +222,7 @@
 
     while ((u = table_next(&b->upstreams, &at, &h)) != NULL) {
         if (u->service == s && u->state == HOLD_OPEN && !u->leaving &&
-            u->until_us <= b->now.mono_us) {
+            u->quarantine_until_us <= b->now.mono_us) {
             add_upstream(b, &r, u);
         }
     }
@@ -255,7 +255,7 @@
     {
         double own;
 
-        if (job->ahead_us > ahead_us) {
+        if (job->queue_key_us > ahead_us) {
             break;
         }
         own = ready_cpu(job);
@@ -295,11 +295,11 @@
 static double
 late_rate(struct broker *b, struct broker_service *s, const struct room *r)
 {
-    double left = r->able - share_offered(s);
+    double left = r->able - share_total_demand(s);
     double least_rate = r->able * LEFT_MIN;
 
     share_update(b, s, r->able);
-    left = left > s->late_started ? left : s->late_started;
+    left = left > s->late_throughput ? left : s->late_throughput;
     return left > least_rate ? left : least_rate;
 }
 
@@ -309,7 +309,7 @@
     struct room r = room_of(b, job->service);
 
     share_update(b, job->service, r.able);
-    share_late_started(job->service, job->work);
+    share_add_late_start(job->service, job->work);
 }
 
 /* Work of late jobs that waits before one that must start by then. */
@@ -321,9 +321,10 @@
 
     TAILQ_FOREACH(job, &s->queue, link)
     {
-        work += job->late && !job->started && job->start_by_us < start_by_us
-                    ? job->work
-                    : 0;
+        work +=
+            job->late && !job->started && job->latest_start_us < start_by_us
+                ? job->work
+                : 0;
     }
     return work;
 }
@@ -335,7 +336,7 @@
 last_start_us(const struct run_job *job)
 {
     int64_t allowed = job->objective_us - job->arrived_us;
-    int64_t chain = job->objective_us - job->start_by_us;
+    int64_t chain = job->objective_us - job->latest_start_us;
     int64_t last = job->arrived_us + LATE_OBJECTIVES * allowed - chain;
     int64_t leaves = job->deadline_us - chain;
 
@@ -346,14 +347,14 @@
 set_late(struct run_job *job)
 {
     job->late = true;
-    job->ahead_us = LATE_LANE_US + job->start_by_us;
+    job->queue_key_us = LATE_LANE_US + job->latest_start_us;
 }
 
 /* When it would have a chance: what stands before it is done by then. */
 static int64_t
 retry_after_us(const struct run_job *job, int64_t start_us)
 {
-    int64_t us = start_us - job->start_by_us;
+    int64_t us = start_us - job->latest_start_us;
 
     us = us > MIN_RETRY_US ? us : MIN_RETRY_US;
     return us < MAX_RETRY_US ? us : MAX_RETRY_US;
@@ -363,19 +364,20 @@
 can_be_in_time(struct broker *b, struct run_job *job, const struct room *free)
 {
     struct broker_service *s = job->service;
-    struct queue_history *q = history_of(s, job->queue);
+    struct queue_stats *q = history_of(s, job->queue);
     struct room r = *free;
-    int64_t spare = job->start_by_us - b->now.mono_us;
+    int64_t spare = job->latest_start_us - b->now.mono_us;
     int64_t wait;
 
-    wait = wait_us(&r, queued_before(s, job->ahead_us, &r), ready_cpu(job));
-    if (!b->opts.without[BROKER_PART_SHARES]) {
-        spare = (int64_t)((double)spare * share_of_spare(s, q, free->able));
+    wait =
+        wait_us(&r, queued_before(s, job->queue_key_us, &r), ready_cpu(job));
+    if (!b->opts.disabled[BROKER_FEATURE_SHARES]) {
+        spare = (int64_t)((double)spare * share_wait_factor(s, q, free->able));
     }
     if (wait > spare) {
         return false;
     }
-    share_take(q, job->work);
+    share_spend_credit(q, job->work);
     return true;
 }
 
@@ -383,7 +385,7 @@
 static bool
 overloaded(const struct broker_service *s, const struct room *r)
 {
-    return share_offered(s) >= r->able;
+    return share_total_demand(s) >= r->able;
 }
 
 /* When it would start behind all others: as room comes free, and, while demand
@@ -398,7 +400,7 @@
 
     if (overloaded(job->service, free)) {
         double work =
-            late_work_before(job->service, job->start_by_us) + job->work;
+            late_work_before(job->service, job->latest_start_us) + job->work;
         double rate = late_rate(b, job->service, free);
         double share_wait = rate > 0 ? work / rate : (double)NEVER_US;
 
@@ -412,13 +414,13 @@
 order_admit(struct broker *b, struct run_job *job, int64_t *retry_us)
 {
     struct broker_service *s = job->service;
-    struct queue_history *q = history_of(s, job->queue);
+    struct queue_stats *q = history_of(s, job->queue);
     struct room r = room_of(b, job->service);
     int64_t start;
 
     *retry_us = 0;
     q->priority = job->priority;
-    share_offer(b, s, q, job->work, r.able);
+    share_add_demand(b, s, q, job->work, r.able);
     if (can_be_in_time(b, job, &r)) {
         return BROKER_NONE;
     }
@@ -436,7 +438,7 @@
 void
 order_overdue(struct broker *b, struct run_job *job)
 {
-    if (!job->late && !job->started && b->now.mono_us > job->start_by_us) {
+    if (!job->late && !job->started && b->now.mono_us > job->latest_start_us) {
         order_remove(job);
         set_late(job);
         order_insert(job);
@@ -473,10 +475,10 @@
     double wide = r.cpu * WIDE_SHARE;
     double own = ready_cpu(job);
 
-    if (b->opts.without[BROKER_PART_SPARE]) {
+    if (b->opts.disabled[BROKER_FEATURE_SPARE]) {
         return true;
     }
-    if (b->opts.without[BROKER_PART_WIDE]) {
+    if (b->opts.disabled[BROKER_FEATURE_WIDE]) {
         wide = own;
     }
     return r.unused - (own < wide ? own : wide) >= r.cpu * SPARE_SHARE;
--- a/src/broker_peer.c
+++ b/src/broker_peer.c
@@ -83,7 +83,7 @@
 view_changed(struct broker *b)
 {
     b->view++;
-    b->review = true;
+    b->review_due = true;
 }
 
 static void
@@ -96,7 +96,7 @@
     i->address = b->opts.address;
     i->incarnation = b->opts.incarnation;
     i->stopping = b->stopping ? 1 : 0;
-    i->holds = b->told_holds ? 1 : 0;
+    i->holds = b->holds_reported ? 1 : 0;
     i->again = again ? 1 : 0;
     broker_send(b, to, &m);
 }
@@ -119,8 +119,8 @@
     config_registry_lost(b, p);
     broker_log(b, LOG_NOTICE, BROKER_PEER_DOWN, 0, -1, p->name, "%s",
                p->registry ? "registry" : "broker");
-    callers_runner_lost(b, p->name);
-    runs_taker_lost(b, p->name);
+    caller_on_runner_lost(b, p->name);
+    run_on_taker_lost(b, p->name);
     hold_broker_lost(b, p->name);
     view_changed(b);
 }
@@ -136,8 +136,8 @@
     }
     p->up = true;
     p->stopping = false;
-    p->lingers = false;
-    p->poll_us = b->now.mono_us;
+    p->draining = false;
+    p->config_poll_us = b->now.mono_us;
     if (!p->registry) {
         /* Before the introduction: it may make the other one think that it
          * should hold them, and it would take them at once. */
@@ -167,7 +167,7 @@
     if (name_equal(p->zone, b->opts.zone)) {
         hold_tell(b, from);
     }
-    b->load_us = b->now.mono_us; /* it knows no load of ours yet */
+    b->next_load_us = b->now.mono_us; /* it knows no load of ours yet */
     view_changed(b);
 }
 
@@ -194,14 +194,14 @@
             return false;
         }
     }
-    return b->roster_us > 0;
+    return b->first_roster_us > 0;
 }
 
 void
 peers_on_roster(struct broker *b, const struct rec_roster *r)
 {
-    if (b->roster_us == 0 && r->n_brokers > 0) {
-        b->roster_us = b->now.mono_us;
+    if (b->first_roster_us == 0 && r->n_brokers > 0) {
+        b->first_roster_us = b->now.mono_us;
     }
     for (size_t i = 0; i < r->n_brokers; i++) {
         struct broker_peer *p = find_or_add(b, r->brokers[i].name);
@@ -216,7 +216,7 @@
 
         if (!p->registry) {
             p->registry = true;
-            p->poll_us = b->now.mono_us;
+            p->config_poll_us = b->now.mono_us;
         }
         connect_peer(b, p, r->registries[i].address);
     }
@@ -238,10 +238,10 @@
     }
     p->n_loads = n;
     for (size_t i = 0; i < n; i++) {
-        p->loads[i].told = l->services[i];
+        p->loads[i].reported = l->services[i];
     }
-    b->runners_changed = b->runners_changed || n > 0;
-    p->lingers = l->lingers != 0;
+    b->runners_updated = b->runners_updated || n > 0;
+    p->draining = l->lingers != 0;
     if (p->stopping != (l->stopping != 0)) {
         p->stopping = l->stopping != 0;
         view_changed(b);
@@ -263,7 +263,7 @@
         n++;
     }
     l->stopping = b->stopping ? 1 : 0;
-    l->lingers = b->lingers ? 1 : 0;
+    l->lingers = b->draining ? 1 : 0;
     l->sent_us = (uint64_t)b->now.mono_us;
     l->services = calloc(n + 1, sizeof(*l->services));
     if (l->services == NULL) {
@@ -278,15 +278,15 @@
         }
     }
     for (struct broker_peer *p = b->peers; p != NULL; p = p->next) {
-        if (p->broker && p->up && (l->n_services > 0 || b->had_load)) {
+        if (p->broker && p->up && (l->n_services > 0 || b->load_reported)) {
             struct msg copy = msg_copy(&m);
 
             broker_send(b, p->name, &copy);
-            p->asked_us = b->now.mono_us;
+            p->last_check_us = b->now.mono_us;
             sent++;
         }
     }
-    b->had_load = l->n_services > 0;
+    b->load_reported = l->n_services > 0;
     peers_on_load(b, b->opts.self, l);
     msg_free(&m);
     return sent;
@@ -297,9 +297,10 @@
 static int64_t
 load_pause_us(const struct broker *b, uint32_t sent)
 {
-    int64_t spread = sent * USEC_PER_SEC / b->opts.loads_per_s;
+    int64_t spread = sent * USEC_PER_SEC / b->opts.load_reports_per_s;
 
-    return spread > b->opts.load_us ? spread : b->opts.load_us;
+    return spread > b->opts.load_interval_us ? spread
+                                             : b->opts.load_interval_us;
 }
 
 void
@@ -321,10 +322,10 @@
 {
     bool holds = hold_any(b);
 
-    if (holds == b->told_holds) {
+    if (holds == b->holds_reported) {
         return;
     }
-    b->told_holds = holds;
+    b->holds_reported = holds;
     for (const struct broker_peer *p = b->peers; p != NULL; p = p->next) {
         if (p->registry && p->up) {
             introduce(b, p->name, true);
@@ -357,9 +358,9 @@
 void
 peers_tick(struct broker *b)
 {
-    if (b->now.mono_us >= b->load_us) {
+    if (b->now.mono_us >= b->next_load_us) {
         tell_holds(b);
-        b->load_us = b->now.mono_us + load_pause_us(b, send_load(b));
+        b->next_load_us = b->now.mono_us + load_pause_us(b, send_load(b));
         forget_gone(b);
     }
 }
@@ -367,7 +368,7 @@
 int64_t
 peers_next_us(const struct broker *b)
 {
-    return b->load_us;
+    return b->next_load_us;
 }
 
 /* Holders */
@@ -393,7 +394,7 @@
 bool
 peers_runs_jobs(const struct broker_peer *p)
 {
-    return (p->up || p->self) && (!p->stopping || p->lingers);
+    return (p->up || p->self) && (!p->stopping || p->draining);
 }
 
 /* By age, the first started first. */
@@ -430,14 +431,14 @@
 peers_rank(struct broker *b)
 {
     size_t upstreams = count_zone_upstreams(b);
-    size_t wanted =
-        (upstreams + b->opts.upstreams_each - 1) / b->opts.upstreams_each;
+    size_t wanted = (upstreams + b->opts.upstreams_per_holder - 1) /
+                    b->opts.upstreams_per_holder;
 
     b->n_holders = 0;
     for (struct broker_peer *p = b->peers; p != NULL; p = p->next) {
         if (may_hold(b, p)) {
-            b->holders = array_grow(b->holders, b->n_holders, &b->holders_room,
-                                    sizeof(*b->holders));
+            b->holders = array_grow(b->holders, b->n_holders,
+                                    &b->holders_capacity, sizeof(*b->holders));
             b->holders[b->n_holders++].peer = p;
         }
     }
--- a/src/broker_place.c
+++ b/src/broker_place.c
@@ -48,7 +48,8 @@
 }
 
 double
-place_remote(const struct rec_task_group *g, const struct broker_upstream *u)
+place_remote_factor(const struct rec_task_group *g,
+                    const struct broker_upstream *u)
 {
     bool near = name_empty(g->affinity) || has_label(u, g->affinity);
 
@@ -59,7 +60,8 @@
 expected_there_us(int64_t usual_us, const struct rec_task_group *g,
                   const struct broker_upstream *u)
 {
-    return (int64_t)((double)usual_us * u->slowness * place_remote(g, u));
+    return (int64_t)((double)usual_us * u->slowness *
+                     place_remote_factor(g, u));
 }
 
 int64_t
@@ -95,8 +97,8 @@
     bool leaving = u->leaving && !b->opts.breaks[BROKER_BREAK_START_LEAVING];
 
     /* A stranger that is being stopped takes room that nobody counts here. */
-    return u->state == HOLD_OPEN && !leaving && !u->gone && !u->strangers &&
-           u->room_us <= b->now.mono_us && u->n_tasks < u->slots &&
+    return u->state == HOLD_OPEN && !leaving && !u->gone && !u->unknown_runs &&
+           u->full_until_us <= b->now.mono_us && u->n_tasks < u->slots &&
            resources_fit(need_of(g), room_of(u)) && suits(g, u) &&
            trust_allows(b, u) &&
            (g->spread == 0 || same_group(job, t, u) < g->spread) &&
@@ -120,22 +122,23 @@
 static struct broker_upstream *
 lost_at(struct broker *b, const struct run_task *t)
 {
-    struct broker_upstream *u = table_get(&b->upstreams, t->lost_at);
+    struct broker_upstream *u =
+        table_get(&b->upstreams, t->lost_start_upstream);
     bool held;
 
-    if (u == NULL || b->now.mono_us >= t->lost_until_us) {
+    if (u == NULL || b->now.mono_us >= t->lost_start_until_us) {
         return NULL;
     }
-    held = (u->state == HOLD_OPEN && u->fence == t->lost_fence) ||
-           (u->state == HOLD_TAKING && u->misses == 0);
+    held = (u->state == HOLD_OPEN && u->fence == t->lost_start_fence) ||
+           (u->state == HOLD_TAKING && u->missed_polls == 0);
     return held && !u->leaving && !u->gone && trust_allows(b, u) &&
-                   !name_equal(t->avoid, u->name)
+                   !name_equal(t->avoid_upstream, u->name)
                ? u
                : NULL;
 }
 
 bool
-place_waits(struct broker *b, const struct run_task *t)
+place_awaits_lost_start(struct broker *b, const struct run_task *t)
 {
     return lost_at(b, t) != NULL;
 }
@@ -162,11 +165,11 @@
 
         if (u->service != job->service ||
             (u->slowness > TOO_SLOW && u->n_tasks > 0) ||
-            !takes(b, job, t, u) || name_equal(t->avoid, u->name)) {
+            !takes(b, job, t, u) || name_equal(t->avoid_upstream, u->name)) {
             continue;
         }
         us = expected_there_us(usual_us, g, u);
-        left = b->opts.without[BROKER_PART_BEST_FIT]
+        left = b->opts.disabled[BROKER_FEATURE_BEST_FIT]
                    ? 0
                    : room_of(u).cpu_milli - (uint32_t)g->cpu_milli;
         if (best == NULL || better(us, left, best_us, best_left)) {
@@ -179,8 +182,8 @@
 }
 
 bool
-place_ever(struct broker *b, const struct broker_service *s,
-           const struct rec_task_group *g)
+place_fits_any(struct broker *b, const struct broker_service *s,
+               const struct rec_task_group *g)
 {
     const struct broker_upstream *u;
     struct handle h;
--- a/src/broker_renew.c
+++ b/src/broker_renew.c
@@ -38,7 +38,7 @@
 renew_init(struct broker *b)
 {
     struct broker_options *o = &b->opts;
-    int64_t us = o->resend_us - NOTICE_US - LAPSE_SLACK_US;
+    int64_t us = o->resubmit_us - NOTICE_US - LAPSE_SLACK_US;
 
     b->job_lease_us = (int64_t)((double)us / (1.0 + 2.0 * o->clock_drift));
     if (o->lease_us > b->job_lease_us) {
@@ -95,24 +95,25 @@
     if (p == NULL || p->self) {
         return;
     }
-    p->sure_us = renew_sure_us(b, p);
-    p->heard_us = sent_us;
-    p->heard_at_us = b->now.mono_us;
-    p->asks = p->asks || check || renewal_due(b, from);
+    p->confirmable_us = renew_sure_us(b, p);
+    p->last_sent_us = sent_us;
+    p->last_received_us = b->now.mono_us;
+    p->wants_renewal = p->wants_renewal || check || renewal_due(b, from);
 }
 
 uint64_t
 renew_sure_us(const struct broker *b, const struct broker_peer *p)
 {
-    return p->heard_at_us <= b->callers_us ? p->heard_us : p->sure_us;
+    return p->last_received_us <= b->callers_known_us ? p->last_sent_us
+                                                      : p->confirmable_us;
 }
 
 void
 renew_forget(struct broker_peer *p)
 {
-    p->heard_us = 0;
-    p->sure_us = 0;
-    p->asks = false;
+    p->last_sent_us = 0;
+    p->confirmable_us = 0;
+    p->wants_renewal = false;
 }
 
 /* Only once callers that left before the question came are known: after a
@@ -121,9 +122,9 @@
 answer_asks(struct broker *b)
 {
     for (struct broker_peer *p = b->peers; p != NULL; p = p->next) {
-        if (p->asks && p->heard_at_us <= b->callers_us) {
-            p->asks = false;
-            renew(b, p->name, p->heard_us);
+        if (p->wants_renewal && p->last_received_us <= b->callers_known_us) {
+            p->wants_renewal = false;
+            renew(b, p->name, p->last_sent_us);
         }
     }
 }
@@ -132,7 +133,7 @@
 renew_next_us(const struct broker *b)
 {
     for (const struct broker_peer *p = b->peers; p != NULL; p = p->next) {
-        if (p->asks) {
+        if (p->wants_renewal) {
             return b->now.mono_us;
         }
     }
@@ -151,20 +152,20 @@
 int64_t
 renew_job_us(const struct broker *b, const struct run_job *job)
 {
-    bool here = !job->told && name_equal(job->taker, b->opts.self);
+    bool here = !job->closed && name_equal(job->taker, b->opts.self);
 
     if (b->opts.breaks[BROKER_BREAK_UNCONFIRMED]) {
         return b->now.mono_us;
     }
-    return here ? b->callers_us : job->renewed_us;
+    return here ? b->callers_known_us : job->renewed_us;
 }
 
 void
 renew_end(const struct broker *b, struct run_job *job)
 {
     job->renewed_us = renew_job_us(b, job);
-    job->told = true;
-    job->told_us = b->now.mono_us;
+    job->closed = true;
+    job->closed_us = b->now.mono_us;
 }
 
 static int64_t
@@ -197,7 +198,7 @@
 renew_allows(struct broker *b, const struct run_job *job,
              const struct broker_upstream *u)
 {
-    return u->granted_us <= job_limit_us(b, job) &&
+    return u->granted_until_us <= job_limit_us(b, job) &&
            leaves_time(b, renew_limit_us(b, u));
 }
 
@@ -222,7 +223,7 @@
     uint32_t at = 0;
 
     while ((job = table_next(&b->run_jobs, &at, &h)) != NULL) {
-        if (!job->told && heard_us > job->renewed_us &&
+        if (!job->closed && heard_us > job->renewed_us &&
             name_equal(job->taker, from) && is_listed(r, job->id)) {
             job->renewed_us = heard_us;
         }
@@ -235,10 +236,10 @@
     struct broker_peer *p = peers_find(b, taker);
     struct msg m = {.kind = MSG_JOB_CHECK};
 
-    if (p == NULL || !p->up || b->now.mono_us - p->asked_us < pause_us) {
+    if (p == NULL || !p->up || b->now.mono_us - p->last_check_us < pause_us) {
         return;
     }
-    p->asked_us = b->now.mono_us;
+    p->last_check_us = b->now.mono_us;
     m.u.job_check.sent_us = (uint64_t)b->now.mono_us;
     broker_send(b, taker, &m);
 }
@@ -261,7 +262,7 @@
 {
     int64_t since_us = b->now.mono_us - b->job_lease_us;
 
-    return renew_job_us(b, job) <= since_us && job->taken_us <= since_us;
+    return renew_job_us(b, job) <= since_us && job->accepted_us <= since_us;
 }
 
 void
@@ -273,11 +274,11 @@
 
     answer_asks(b);
     while ((job = table_next(&b->run_jobs, &at, &h)) != NULL) {
-        if (job->told || b->now.mono_us - renew_job_us(b, job) < ASK_US) {
+        if (job->closed || b->now.mono_us - renew_job_us(b, job) < ASK_US) {
             continue;
         }
         if (is_unconfirmed(b, job)) {
-            runs_give_up(b, job, BROKER_NOT_RENEWED);
+            run_abandon_job(b, job, BROKER_NOT_RENEWED);
         }
         else {
             check(b, job->taker, RENEW_US);
--- a/src/broker_run.c
+++ b/src/broker_run.c
@@ -14,7 +14,7 @@
 #define WAITING_LOOK_US (20 * USEC_PER_MSEC)
 
 struct broker_service *
-runs_service(struct broker *b, struct name name)
+run_get_service(struct broker *b, struct name name)
 {
     struct broker_service *s = b->services;
 
@@ -36,13 +36,14 @@
 }
 
 int32_t
-runs_label(const struct run_job *job, const struct run_task *t)
+run_task_number(const struct run_job *job, const struct run_task *t)
 {
     return (int32_t)(t - job->tasks);
 }
 
 struct run_task *
-runs_task(struct broker *b, const struct placed_task *p, struct run_job **job)
+run_find_task(struct broker *b, const struct placed_task *p,
+              struct run_job **job)
 {
     *job = table_get(&b->run_jobs, p->job);
     return *job != NULL ? &(*job)->tasks[p->task] : NULL;
@@ -59,7 +60,7 @@
     uint32_t at = 0;
 
     while ((job = table_next(&b->run_jobs, &at, &h)) != NULL) {
-        if (job->id == id && job->told == told && job != except) {
+        if (job->id == id && job->closed == told && job != except) {
             return job;
         }
     }
@@ -87,9 +88,9 @@
 {
     struct run_job *job = find_life(b, ended->id, false, NULL);
 
-    if (job != NULL && job->waits &&
+    if (job != NULL && job->blocked_by_earlier &&
         find_life(b, ended->id, true, ended) == NULL) {
-        job->waits = false;
+        job->blocked_by_earlier = false;
         order_insert(job);
     }
 }
@@ -97,7 +98,7 @@
 static void
 note_settled(struct broker *b, const struct run_job *job)
 {
-    int64_t after_us = b->now.mono_us - job->told_us;
+    int64_t after_us = b->now.mono_us - job->closed_us;
 
     if (after_us == 0) {
         return; /* nothing of it was left at an upstream */
@@ -111,7 +112,7 @@
 static void
 remove_settled(struct broker *b, struct run_job *job)
 {
-    if (!job->told || job->n_placed > 0) {
+    if (!job->closed || job->n_placed > 0) {
         return;
     }
     order_remove(job);
@@ -131,7 +132,7 @@
     for (uint32_t i = 0; i < job->n_tasks; i++) {
         struct run_task *t = &job->tasks[i];
 
-        if (t->state >= RUN_STARTING && t->state <= RUN_UNSETTLED) {
+        if (t->state >= RUN_STARTING && t->state <= RUN_UNRESOLVED) {
             lease_stop(b, table_get(&b->upstreams, t->upstream), job, t);
         }
     }
@@ -143,7 +144,7 @@
 end_job(struct broker *b, struct run_job *job, enum job_outcome outcome,
         enum broker_reason reason, int64_t retry_us)
 {
-    if (job->told) {
+    if (job->closed) {
         return;
     }
     renew_end(b, job);
@@ -152,15 +153,16 @@
     broker_log(
         b, LOG_DEBUG, BROKER_ENDED, job->id, -1, job->taker,
         "%s, %s; %u of %u tasks left, %u at upstreams, after %lld ms",
-        job_outcome_text(outcome), broker_reason_text(reason), job->n_left,
-        job->n_tasks, job->n_placed,
+        job_outcome_text(outcome), broker_reason_text(reason),
+        job->n_unfinished, job->n_tasks, job->n_placed,
         (long long)((b->now.mono_us - job->arrived_us) / USEC_PER_MSEC));
     stop_placed(b, job);
     remove_settled(b, job);
 }
 
 void
-runs_give_up(struct broker *b, struct run_job *job, enum broker_reason reason)
+run_abandon_job(struct broker *b, struct run_job *job,
+                enum broker_reason reason)
 {
     end_job(b, job, job->started ? JOB_LOST_OUTCOME : JOB_RETURNED_OUTCOME,
             reason, 0);
@@ -169,13 +171,13 @@
 static void
 drop_job(struct broker *b, struct run_job *job, enum broker_reason reason)
 {
-    if (job->told) {
+    if (job->closed) {
         return;
     }
     renew_end(b, job);
     order_remove(job);
     broker_log(b, LOG_INFO, reason, job->id, -1, job->taker,
-               "%u of %u tasks left, %u at upstreams", job->n_left,
+               "%u of %u tasks left, %u at upstreams", job->n_unfinished,
                job->n_tasks, job->n_placed);
     stop_placed(b, job);
     remove_settled(b, job);
@@ -245,7 +247,7 @@
         }
     }
     job->n_tasks = n;
-    job->n_left = n;
+    job->n_unfinished = n;
     return true;
 }
 
@@ -253,7 +255,7 @@
 fits_here(struct broker *b, const struct run_job *job)
 {
     for (size_t i = 0; i < job->n_groups; i++) {
-        if (!place_ever(b, job->service, &job->groups[i])) {
+        if (!place_fits_any(b, job->service, &job->groups[i])) {
             return false;
         }
     }
@@ -285,7 +287,7 @@
 log_refusal(struct broker *b, const struct run_job *job,
             enum broker_reason reason, int64_t retry_us)
 {
-    int64_t must_us = job->start_by_us - b->now.mono_us;
+    int64_t must_us = job->latest_start_us - b->now.mono_us;
     char times[DETAIL_SIZE] = "";
 
     if (retry_us > 0) {
@@ -316,12 +318,12 @@
         return false;
     }
     b->counters.offers_again++;
-    if (earlier->told) {
-        broker_log(
-            b, LOG_INFO, BROKER_HANDED_IN_AGAIN, o->id, -1, from,
-            "waits for %u runs of the earlier one, ended %lld ms ago",
-            earlier->n_placed,
-            (long long)((b->now.mono_us - earlier->told_us) / USEC_PER_MSEC));
+    if (earlier->closed) {
+        broker_log(b, LOG_INFO, BROKER_HANDED_IN_AGAIN, o->id, -1, from,
+                   "waits for %u runs of the earlier one, ended %lld ms ago",
+                   earlier->n_placed,
+                   (long long)((b->now.mono_us - earlier->closed_us) /
+                               USEC_PER_MSEC));
         *waits = true;
         return false;
     }
@@ -331,7 +333,7 @@
          BROKER_HANDED_IN_AGAIN, 0);
     earlier->taker = from;
     earlier->number = o->number;
-    earlier->taken_us = b->now.mono_us;
+    earlier->accepted_us = b->now.mono_us;
     earlier->renewed_us = renew_heard(b, o->heard_us);
     earlier->deadline_us = b->now.mono_us + (int64_t)o->deadline_us;
     return true;
@@ -348,11 +350,11 @@
     job->number = o->number;
     job->id = o->id;
     job->queue = o->queue;
-    job->service = runs_service(b, o->service);
+    job->service = run_get_service(b, o->service);
     job->priority = (uint32_t)o->priority;
     job->attempts = o->attempts > 0 ? (uint32_t)o->attempts : 1;
     job->arrived_us = b->now.mono_us - (int64_t)o->age_us;
-    job->taken_us = b->now.mono_us;
+    job->accepted_us = b->now.mono_us;
     job->renewed_us = renew_heard(b, o->heard_us);
     job->spec = blob_ref(o->spec);
     job->groups = calloc(o->n_groups + 1, sizeof(*job->groups));
@@ -365,8 +367,7 @@
 }
 
 void
-runs_on_offer(struct broker *b, struct name from,
-              const struct rec_job_offer *o)
+run_on_offer(struct broker *b, struct name from, const struct rec_job_offer *o)
 {
     enum broker_reason reason = BROKER_NEVER_FITS;
     enum job_outcome outcome = JOB_REFUSED_OUTCOME;
@@ -395,9 +396,9 @@
         b, LOG_INFO, BROKER_ACCEPTED, job->id, -1, from,
         "queue %s, %u tasks, starts in %lld ms, %u jobs wait", job->queue.s,
         job->n_tasks,
-        (long long)((job->start_by_us - b->now.mono_us) / USEC_PER_MSEC),
+        (long long)((job->latest_start_us - b->now.mono_us) / USEC_PER_MSEC),
         job->service->n_queued);
-    job->waits = waits;
+    job->blocked_by_earlier = waits;
     if (!waits) {
         order_insert(job);
     }
@@ -419,7 +420,7 @@
 }
 
 void
-runs_on_drop(struct broker *b, struct name from, uint64_t number)
+run_on_drop(struct broker *b, struct name from, uint64_t number)
 {
     struct run_job *job = find_taken(b, from, number);
 
@@ -429,7 +430,7 @@
 }
 
 void
-runs_taker_lost(struct broker *b, struct name taker)
+run_on_taker_lost(struct broker *b, struct name taker)
 {
     struct run_job *job;
     struct handle h;
@@ -443,7 +444,7 @@
 }
 
 void
-runs_paused(struct broker *b)
+run_on_pause(struct broker *b)
 {
     struct run_job *job;
     struct handle h;
@@ -455,7 +456,7 @@
 }
 
 void
-runs_return(struct broker *b)
+run_return_unstarted(struct broker *b)
 {
     struct run_job *job;
     struct handle h;
@@ -465,7 +466,7 @@
         bool unstarted =
             !job->started || b->opts.breaks[BROKER_BREAK_RETURN_STARTED];
 
-        if (unstarted && !job->told) {
+        if (unstarted && !job->closed) {
             end_job(b, job, JOB_RETURNED_OUTCOME, BROKER_STOPPING, 0);
         }
     }
@@ -474,17 +475,17 @@
 /* Tasks */
 
 void
-runs_started(struct broker *b, struct run_job *job, struct run_task *t,
-             struct broker_upstream *u)
+run_mark_started(struct broker *b, struct run_job *job, struct run_task *t,
+                 struct broker_upstream *u)
 {
     t->state = RUN_STARTING;
     t->upstream = u->self;
     t->run++;
-    t->sent_us = b->now.mono_us;
+    t->start_sent_us = b->now.mono_us;
     t->expected_us = place_expected_us(job, &job->groups[t->group], u);
     t->percent = 0;
-    t->percent_us = b->now.mono_us;
-    t->settle_us = INT64_MAX;
+    t->progress_us = b->now.mono_us;
+    t->stop_confirmed_us = INT64_MAX;
     if (!job->started) {
         histogram_add(&b->histograms.queue, b->now.mono_us - job->arrived_us);
         if (job->late) {
@@ -495,7 +496,7 @@
     job->n_ready--;
     job->n_placed++;
     b->counters.tasks_started++;
-    broker_log(b, LOG_DEBUG, BROKER_STARTED, job->id, runs_label(job, t),
+    broker_log(b, LOG_DEBUG, BROKER_STARTED, job->id, run_task_number(job, t),
                u->name, "run %llu, expected %lld ms",
                (unsigned long long)t->run,
                (long long)(t->expected_us / USEC_PER_MSEC));
@@ -511,16 +512,16 @@
     }
     t->upstream = (struct handle){0};
     job->n_placed--;
-    job->service->place = true;
+    job->service->placement_due = true;
 }
 
 void
-runs_ready(struct broker *b, struct run_job *job, struct run_task *t)
+run_mark_ready(struct broker *b, struct run_job *job, struct run_task *t)
 {
     taken_off(b, job, t);
     t->state = RUN_READY;
     job->n_ready++;
-    if (job->told) {
+    if (job->closed) {
         remove_settled(b, job);
     }
     else if (!job->queued) {
@@ -529,16 +530,16 @@
 }
 
 void
-runs_done(struct broker *b, struct run_job *job, struct run_task *t)
+run_mark_done(struct broker *b, struct run_job *job, struct run_task *t)
 {
     taken_off(b, job, t);
     t->state = RUN_ENDED;
-    job->n_left--;
+    job->n_unfinished--;
     b->counters.tasks_done++;
-    if (job->told) {
+    if (job->closed) {
         remove_settled(b, job);
     }
-    else if (job->n_left == 0) {
+    else if (job->n_unfinished == 0) {
         end_job(b, job, JOB_COMPLETED_OUTCOME, BROKER_ENDED, 0);
     }
     else {
@@ -552,23 +553,23 @@
 /* A task that fails everywhere is its job's fault: only its first failure
  * counts against the upstream. */
 void
-runs_failed(struct broker *b, struct run_job *job, struct run_task *t)
+run_mark_failed(struct broker *b, struct run_job *job, struct run_task *t)
 {
     struct broker_upstream *u = table_get(&b->upstreams, t->upstream);
 
     b->counters.tasks_failed++;
-    if (job->told) {
-        runs_ready(b, job, t); /* may free the job */
+    if (job->closed) {
+        run_mark_ready(b, job, t); /* may free the job */
         return;
     }
     if (u != NULL && t->failures == 0) {
         trust_failed(b, u);
     }
     if (u != NULL) {
-        t->avoid = u->name;
+        t->avoid_upstream = u->name;
     }
     t->failures++;
-    runs_ready(b, job, t);
+    run_mark_ready(b, job, t);
     if (t->failures >= job->attempts) {
         end_job(b, job, JOB_FAILED_OUTCOME, BROKER_TASK_FAILED, 0);
     }
@@ -590,12 +591,12 @@
             continue;
         }
         u = place_choose(b, job, t);
-        if (u == NULL && !name_empty(t->avoid)) {
+        if (u == NULL && !name_empty(t->avoid_upstream)) {
             /* Better where it failed than nowhere. */
-            t->avoid = name_of("");
+            t->avoid_upstream = name_of("");
             u = place_choose(b, job, t);
         }
-        if (u == NULL && !place_waits(b, t)) {
+        if (u == NULL && !place_awaits_lost_start(b, t)) {
             return false;
         }
         if (u == NULL) {
@@ -642,7 +643,8 @@
     if (place_job(b, job)) {
         order_remove(job);
     }
-    else if (job->late && job->started && job->ahead_us != job->start_by_us) {
+    else if (job->late && job->started &&
+             job->queue_key_us != job->latest_start_us) {
         order_remove(job);
         order_insert(job); /* its place changes once, see there */
     }
@@ -654,7 +656,7 @@
 {
     struct run_job *job = TAILQ_FIRST(&s->queue);
 
-    s->place = false;
+    s->placement_due = false;
     while (job != NULL) {
         struct run_job *next = TAILQ_NEXT(job, link);
 
@@ -666,11 +668,11 @@
 }
 
 void
-runs_tick(struct broker *b)
+run_tick(struct broker *b)
 {
     for (struct broker_service *s = b->services; s != NULL; s = s->next) {
-        if (s->place || b->now.mono_us >= s->look_us) {
-            s->look_us = b->now.mono_us + WAITING_LOOK_US;
+        if (s->placement_due || b->now.mono_us >= s->next_placement_us) {
+            s->next_placement_us = b->now.mono_us + WAITING_LOOK_US;
             review_waiting(b, s);
             place_all(b, s);
         }
@@ -678,14 +680,14 @@
 }
 
 int64_t
-runs_next_us(const struct broker *b)
+run_next_us(const struct broker *b)
 {
     int64_t at = INT64_MAX;
 
     for (const struct broker_service *s = b->services; s != NULL;
          s = s->next) {
-        if (s->n_queued > 0 && s->look_us < at) {
-            at = s->look_us;
+        if (s->n_queued > 0 && s->next_placement_us < at) {
+            at = s->next_placement_us;
         }
     }
     return at;
--- a/src/broker_runtime.c
+++ b/src/broker_runtime.c
@@ -130,7 +130,7 @@
 step(struct broker_runtime *r, struct broker_event *ev)
 {
     ev->now = clock_now(r->opts.clock);
-    ev->callers_us = r->polled_us;
+    ev->callers_known_us = r->polled_us;
     broker_step(r->broker, ev, &r->effects);
     for (size_t i = 0; i < r->effects.n; i++) {
         carry_out(r, &r->effects.items[i]);
@@ -160,7 +160,7 @@
 reply_no_queue(struct broker_runtime *r, uint64_t number,
                struct httpapi_response *response)
 {
-    if (broker_config_behind(r->broker)) {
+    if (broker_config_outdated(r->broker)) {
         response->status = STATUS_LATER;
         response->retry_after_us = USEC_PER_SEC;
     }
@@ -174,7 +174,7 @@
 may_be_early(struct broker_runtime *r)
 {
     return broker_queues(r->broker) == NULL &&
-           clock_now(r->opts.clock).mono_us < broker_start_over_us(r->broker);
+           clock_now(r->opts.clock).mono_us < broker_startup_end_us(r->broker);
 }
 
 static void
@@ -228,7 +228,7 @@
         step(r, &ev);
         break;
     case CALLER_COUNT:
-        r->opts.callers->count(broker_waiting(r->broker, c.queue->name),
+        r->opts.callers->count(broker_pending_jobs(r->broker, c.queue->name),
                                &c.response);
         httpapi_reply(r->callers, request->number, &c.response);
         break;
@@ -406,7 +406,7 @@
 next_us(const struct broker_runtime *r)
 {
     int64_t at_us = broker_next_us(r->broker);
-    int64_t over_us = broker_start_over_us(r->broker);
+    int64_t over_us = broker_startup_end_us(r->broker);
 
     return r->n_early > 0 && over_us < at_us ? over_us : at_us;
 }
--- a/src/broker_share.c
+++ b/src/broker_share.c
@@ -28,18 +28,18 @@
 /* Compared to what each asks for, a queue of the first priority gets twice as
  * much room as one of the third, and each at least some. */
 static double
-weight(const struct queue_history *q)
+weight(const struct queue_stats *q)
 {
     return 1.0 + 3.0 / (1.0 + (double)q->priority);
 }
 
 double
-share_offered(const struct broker_service *s)
+share_total_demand(const struct broker_service *s)
 {
     double offered = 0;
 
-    for (size_t i = 0; i < s->n_history; i++) {
-        offered += s->history[i].offered;
+    for (size_t i = 0; i < s->n_stats; i++) {
+        offered += s->stats[i].demand;
     }
     return offered;
 }
@@ -51,10 +51,10 @@
 {
     double sum = 0;
 
-    for (size_t i = 0; i < s->n_history; i++) {
-        const struct queue_history *q = &s->history[i];
+    for (size_t i = 0; i < s->n_stats; i++) {
+        const struct queue_stats *q = &s->stats[i];
 
-        sum += q->offered * fmin(1.0, weight(q) * level);
+        sum += q->demand * fmin(1.0, weight(q) * level);
     }
     return sum;
 }
@@ -86,39 +86,39 @@
 void
 share_update(struct broker *b, struct broker_service *s, double able)
 {
-    double passed = (double)(b->now.mono_us - s->share_us);
+    double passed = (double)(b->now.mono_us - s->shares_updated_us);
     double level = level_for(s, able);
 
-    for (size_t i = 0; i < s->n_history; i++) {
-        struct queue_history *q = &s->history[i];
-        double share = q->offered * fmin(1.0, weight(q) * level);
+    for (size_t i = 0; i < s->n_stats; i++) {
+        struct queue_stats *q = &s->stats[i];
+        double share = q->demand * fmin(1.0, weight(q) * level);
 
         q->credit = fmin(q->credit + share * passed, share * CREDIT_US);
-        q->offered *= exp(-passed / (double)DEMAND_US);
+        q->demand *= exp(-passed / (double)DEMAND_US);
     }
-    s->late_started *= exp(-passed / (double)DEMAND_US);
-    s->share_us = b->now.mono_us;
+    s->late_throughput *= exp(-passed / (double)DEMAND_US);
+    s->shares_updated_us = b->now.mono_us;
 }
 
 void
-share_late_started(struct broker_service *s, double work)
+share_add_late_start(struct broker_service *s, double work)
 {
-    s->late_started += work / (double)DEMAND_US;
+    s->late_throughput += work / (double)DEMAND_US;
 }
 
 void
-share_offer(struct broker *b, struct broker_service *s,
-            struct queue_history *q, double work, double able)
+share_add_demand(struct broker *b, struct broker_service *s,
+                 struct queue_stats *q, double work, double able)
 {
     share_update(b, s, able);
-    q->offered += work / (double)DEMAND_US;
+    q->demand += work / (double)DEMAND_US;
 }
 
 double
-share_of_spare(const struct broker_service *s, const struct queue_history *q,
-               double able)
+share_wait_factor(const struct broker_service *s, const struct queue_stats *q,
+                  double able)
 {
-    double over = able > 0 ? share_offered(s) / able - 1.0 : OVER_FULL;
+    double over = able > 0 ? share_total_demand(s) / able - 1.0 : OVER_FULL;
     double left = 1.0 - over / OVER_FULL;
 
     if (q->credit > 0 || left > 1.0) {
@@ -128,7 +128,7 @@
 }
 
 void
-share_take(struct queue_history *q, double work)
+share_spend_credit(struct queue_stats *q, double work)
 {
     q->credit -= work;
 }
--- a/src/broker_state.h
+++ b/src/broker_state.h
@@ -28,8 +28,8 @@
 
 /** struct broker_load - a service's load at a peer, as it told last */
 struct broker_load {
-    struct rec_service_load told;
-    uint64_t added_milli; /* sent there since then */
+    struct rec_service_load reported;
+    uint64_t sent_milli; /* sent there since then */
 };
 
 /**
@@ -39,19 +39,20 @@
  * @broker: introduced itself as a broker
  * @up: there is a connection
  * @stopping: takes no new duties
- * @lingers: runs jobs though it stops
+ * @draining: runs jobs though it stops
  * @loads: of its services
- * @poll_us: of a registry: ask it then for a newer version
- * @told_version: of a registry: newest version of the configuration that it
- *                told of on this connection
- * @slow: of a registry: it was asked for a text and did not send it in time
- * @heard_us: its clock, as of its newest load or check on this connection; 0:
- *            none
- * @heard_at_us: when that was read here
- * @sure_us: newest of them that was read before callers who had left were
- *           looked for last
- * @asks: it waits for a renewal
- * @asked_us: when it was last sent a load or a check
+ * @config_poll_us: of a registry: ask it then for a newer version
+ * @reported_version: of a registry: newest version of the configuration that
+ * it told of on this connection
+ * @fetch_timed_out: of a registry: it was asked for a text and did not send it
+ * in time
+ * @last_sent_us: its clock, as of its newest load or check on this connection;
+ * 0: none
+ * @last_received_us: when that was read here
+ * @confirmable_us: newest of them that was read before callers who had left
+ * were looked for last
+ * @wants_renewal: it waits for a renewal
+ * @last_check_us: when it was last sent a load or a check
  */
 struct broker_peer {
     struct name name;
@@ -63,37 +64,39 @@
     bool broker;
     bool up;
     bool stopping;
-    bool lingers;
+    bool draining;
     struct broker_load *loads;
     size_t n_loads;
-    int64_t poll_us;
-    uint64_t told_version;
-    bool slow;
-    uint64_t heard_us;
-    int64_t heard_at_us;
-    uint64_t sure_us;
-    bool asks;
-    int64_t asked_us;
+    int64_t config_poll_us;
+    uint64_t reported_version;
+    bool fetch_timed_out;
+    uint64_t last_sent_us;
+    int64_t last_received_us;
+    uint64_t confirmable_us;
+    bool wants_renewal;
+    int64_t last_check_us;
     int64_t down_us;
     struct broker_peer *next;
 };
 
 /**
  * struct config_fetch - the way of a newer configuration to this broker
- * @from: the registry that was asked for its text; empty: none
- * @due_us: another one is asked then
- * @patience_us: from asking to @due_us
- * @heard_us: when a version above the one in force was first told; 0: none was
- * @whole: a change did not fit the text here, so the whole text is asked for
- * @unreadable: newest version that can't be in force here
+ * @source: the registry that was asked for its text; empty: none
+ * @timeout_at_us: another one is asked then
+ * @timeout_us: from asking to @timeout_at_us
+ * @first_reported_us: when a version above the one in force was first told; 0:
+ * none was
+ * @full_text: a change did not fit the text here, so the whole text is asked
+ * for
+ * @unreadable_version: newest version that can't be in force here
  */
 struct config_fetch {
-    struct name from;
-    int64_t due_us;
-    int64_t patience_us;
-    int64_t heard_us;
-    bool whole;
-    uint64_t unreadable;
+    struct name source;
+    int64_t timeout_at_us;
+    int64_t timeout_us;
+    int64_t first_reported_us;
+    bool full_text;
+    uint64_t unreadable_version;
 };
 
 /** struct holder_ref - a broker that holds upstreams of this zone */
@@ -112,21 +115,21 @@
     uint64_t request;
     struct msg offer;
     struct name runner;
-    uint32_t moves;
-    int64_t taken_us;
+    uint32_t reoffers;
+    int64_t accepted_us;
     int64_t confirmed_us;
     int64_t deadline_us;
     bool known_started;
 };
 
 enum run_state {
-    RUN_BLOCKED,   /* groups before it have not ended */
-    RUN_READY,     /* waits for room */
-    RUN_STARTING,  /* the start is not answered */
-    RUN_RUNNING,   /* acknowledged, or seen there */
-    RUN_UNSETTLED, /* the start was lost; it may run, or still start */
-    RUN_STOPPING,  /* asked to stop */
-    RUN_ENDED,     /* well, or not needed any more */
+    RUN_BLOCKED,    /* groups before it have not ended */
+    RUN_READY,      /* waits for room */
+    RUN_STARTING,   /* the start is not answered */
+    RUN_RUNNING,    /* acknowledged, or seen there */
+    RUN_UNRESOLVED, /* the start was lost; it may run, or still start */
+    RUN_STOPPING,   /* asked to stop */
+    RUN_ENDED,      /* well, or not needed any more */
 };
 
 /**
@@ -134,17 +137,17 @@
  * @run: of its last start
  * @failures: runs that failed
  * @upstream: where it is, from RUN_STARTING to RUN_STOPPING
- * @sent_us: when the start was sent
+ * @start_sent_us: when the start was sent
  * @expected_us: how long it should run there
  * @percent: of its work, as last seen
- * @percent_us: since when it has not risen
- * @settle_us: a look sent after this time tells whether it is there; INT64_MAX
- *             while a stop is not confirmed
- * @stop_us: when a stop was sent last
- * @avoid: the upstream where it failed last
- * @lost_at: the upstream that did not answer a start of it
- * @lost_fence: of that start
- * @lost_until_us: it may still be carried out until then
+ * @progress_us: since when it has not risen
+ * @stop_confirmed_us: a look sent after this time tells whether it is there;
+ * INT64_MAX while a stop is not confirmed
+ * @stop_sent_us: when a stop was sent last
+ * @avoid_upstream: the upstream where it failed last
+ * @lost_start_upstream: the upstream that did not answer a start of it
+ * @lost_start_fence: of that start
+ * @lost_start_until_us: it may still be carried out until then
  */
 struct run_task {
     enum run_state state;
@@ -153,16 +156,16 @@
     uint64_t run;
     uint32_t failures;
     struct handle upstream;
-    int64_t sent_us;
+    int64_t start_sent_us;
     int64_t expected_us;
     uint32_t percent;
-    int64_t percent_us;
-    int64_t settle_us;
-    int64_t stop_us;
-    struct name avoid;
-    struct handle lost_at;
-    uint64_t lost_fence;
-    int64_t lost_until_us;
+    int64_t progress_us;
+    int64_t stop_confirmed_us;
+    int64_t stop_sent_us;
+    struct name avoid_upstream;
+    struct handle lost_start_upstream;
+    uint64_t lost_start_fence;
+    int64_t lost_start_until_us;
 };
 
 /**
@@ -172,22 +175,22 @@
  * @id: the caller's
  * @objective_us: an answer after it is late
  * @deadline_us: nobody waits for one after that
- * @start_by_us: started by then, it can be in time
- * @ahead_us: orders the queue, see broker_order.c
+ * @latest_start_us: started by then, it can be in time
+ * @queue_key_us: orders the queue, see broker_order.c
  * @work: expected processor time left to start, in milli-core microseconds
  * @late: can't be in time any more; served from what the others leave
  * @n_done: tasks that ended well
- * @done_us: how long they ran together, near their data
- * @n_left: tasks that have not ended well
+ * @total_run_us: how long they ran together, near their data
+ * @n_unfinished: tasks that have not ended well
  * @n_ready: tasks that wait for room
  * @n_placed: tasks that are, or may be, at an upstream
- * @told: its taker knows the outcome; what is left only has to be settled
- * @told_us: since when
- * @taken_us: when its taker offered it
+ * @closed: its taker knows the outcome; what is left only has to be settled
+ * @closed_us: since when
+ * @accepted_us: when its taker offered it
  * @renewed_us: when its taker was last known to wait for it; of a job that is
  *              told: when that ended
  * @started: a start was sent
- * @waits: earlier lives of the job must be settled first
+ * @blocked_by_earlier: earlier lives of the job must be settled first
  * @queued: in the service's queue
  */
 struct run_job {
@@ -202,8 +205,8 @@
     int64_t arrived_us;
     int64_t objective_us;
     int64_t deadline_us;
-    int64_t start_by_us;
-    int64_t ahead_us;
+    int64_t latest_start_us;
+    int64_t queue_key_us;
     double work;
     struct blob *spec;
     struct rec_task_group *groups;
@@ -212,33 +215,33 @@
     uint32_t n_tasks;
     bool late;
     uint32_t n_done;
-    int64_t done_us;
-    uint32_t n_left;
+    int64_t total_run_us;
+    uint32_t n_unfinished;
     uint32_t n_ready;
     uint32_t n_placed;
-    bool told;
-    int64_t told_us;
-    int64_t taken_us;
+    bool closed;
+    int64_t closed_us;
+    int64_t accepted_us;
     int64_t renewed_us;
     bool started;
     bool queued;
-    bool waits;
+    bool blocked_by_earlier;
     TAILQ_ENTRY(run_job) link;
 };
 
 TAILQ_HEAD(run_queue, run_job);
 
 /**
- * struct queue_history - what is learned of a queue
+ * struct queue_stats - what is learned of a queue
  * @learned: its run times
- * @offered: work handed in lately, in milli-cores that it would keep busy
+ * @demand: work handed in lately, in milli-cores that it would keep busy
  * @credit: of its share, work that may be let in, in milli-core microseconds
  */
-struct queue_history {
+struct queue_stats {
     struct name queue;
     uint32_t priority;
     struct learned learned;
-    double offered;
+    double demand;
     double credit;
 };
 
@@ -246,13 +249,14 @@
 struct broker_service {
     struct name name;
     struct run_queue queue;
-    uint32_t n_queued;   /* jobs */
-    double late_started; /* work of late jobs started lately, milli-cores */
-    int64_t share_us;    /* when offers and credits were brought up to date */
-    struct queue_history *history;
-    size_t n_history;
-    bool place;      /* room or work has come: look again */
-    int64_t look_us; /* or then */
+    uint32_t n_queued;      /* jobs */
+    double late_throughput; /* work of late jobs started lately, milli-cores */
+    int64_t shares_updated_us; /* when offers and credits were brought up to
+                                  date */
+    struct queue_stats *stats;
+    size_t n_stats;
+    bool placement_due;        /* room or work has come: look again */
+    int64_t next_placement_us; /* or then */
     struct broker_service *next;
 };
 
@@ -260,8 +264,8 @@
     HOLD_NONE,   /* another broker's, or nobody's */
     HOLD_TAKING, /* what runs there is looked at and stopped */
     HOLD_OPEN,
-    HOLD_MUTE, /* held, but it does not answer */
-    HOLD_LOST, /* another's; our runs there may not have ended */
+    HOLD_UNRESPONSIVE, /* held, but it does not answer */
+    HOLD_LOST,         /* another's; our runs there may not have ended */
 };
 
 /** struct placed_task - a task that is, or may be, at an upstream */
@@ -273,40 +277,41 @@
 /**
  * struct broker_upstream - an upstream
  * @name: first: looked up by it
- * @spread: a number drawn from its name, which orders upstreams alike at all
+ * @hash: a number drawn from its name, which orders upstreams alike at all
  *          brokers
  * @born_ms: its life
  * @sequence: of its last announcement
- * @told_us: when a registry last told of it
+ * @last_reported_us: when a registry last told of it
  * @holder: the broker that said that it holds it; empty for nobody
  * @fence: with which it is held, or the highest known
- * @noted: ends up to this number were taken
- * @unnoted: the upstream has not been told so yet
+ * @last_end: ends up to this number were taken
+ * @ack_pending: the upstream has not been told so yet
  * @clock_ms: its clock when it last answered, at @clock_us here
- * @granted_us: what it was sent of a lease ends by then, on our clock
- * @lapse_us: whatever runs there on our leases is over by then
- * @look: number of the look that is under way; 0 for none
- * @look_us: when the next one is due; INT64_MAX for none
- * @peek: number of a look beside it that does not wait; 0 for none
- * @peek_due: one is wanted
- * @misses: looks in a row without answer
- * @lost_until_us: a start that was not answered may be carried out until then
+ * @granted_until_us: what it was sent of a lease ends by then, on our clock
+ * @leases_end_us: whatever runs there on our leases is over by then
+ * @poll: number of the look that is under way; 0 for none
+ * @poll_us: when the next one is due; INT64_MAX for none
+ * @quick_poll: number of a look beside it that does not wait; 0 for none
+ * @quick_poll_due: one is wanted
+ * @missed_polls: looks in a row without answer
+ * @lost_start_until_us: a start that was not answered may be carried out until
+ * then
  * @fenced_view: the view of the brokers when it was lost to a higher fence
  * @used: by the placed tasks
- * @room_us: not before that, after it had no room
- * @strangers: it runs what nobody here started, as last seen
+ * @full_until_us: not before that, after it had no room
+ * @unknown_runs: it runs what nobody here started, as last seen
  * @failures: runs in a row that failed
- * @until_us: in quarantine until then; 0 for not
+ * @quarantine_until_us: in quarantine until then; 0 for not
  * @backoff_us: of the quarantine, doubles
  * @slowness: run times over the expected ones, moving mean
  */
 struct broker_upstream {
     struct name name;
     struct handle self;
-    uint64_t spread;
+    uint64_t hash;
     uint64_t born_ms;
     uint64_t sequence;
-    int64_t told_us;
+    int64_t last_reported_us;
     struct broker_service *service;
     struct name zone;
     struct address address;
@@ -320,30 +325,30 @@
     enum hold_state state;
     struct name holder;
     uint64_t fence;
-    uint64_t noted;
-    bool unnoted;
+    uint64_t last_end;
+    bool ack_pending;
     int64_t clock_ms;
     int64_t clock_us;
-    int64_t granted_us;
-    int64_t lapse_us;
-    uint64_t look;
-    int64_t look_us;
-    uint64_t peek;
-    bool peek_due;
-    uint32_t misses;
-    int64_t lost_until_us;
-    uint32_t fenced;
+    int64_t granted_until_us;
+    int64_t leases_end_us;
+    uint64_t poll;
+    int64_t poll_us;
+    uint64_t quick_poll;
+    bool quick_poll_due;
+    uint32_t missed_polls;
+    int64_t lost_start_until_us;
+    uint32_t fence_retries;
     uint64_t fenced_view;
 
     struct placed_task *tasks;
     size_t n_tasks;
-    size_t tasks_room;
+    size_t tasks_capacity;
     struct resources used;
-    int64_t room_us;
-    bool strangers;
+    int64_t full_until_us;
+    bool unknown_runs;
 
     uint32_t failures;
-    int64_t until_us;
+    int64_t quarantine_until_us;
     int64_t backoff_us;
     double slowness;
 };
@@ -366,10 +371,10 @@
     int64_t job_lease_us; /* see renew_init() */
     struct moment now;
     struct broker_effects *fx;
-    uint64_t random;
+    uint64_t rng;
     int64_t started_us;
-    int64_t last_us;    /* of the last step */
-    int64_t callers_us; /* callers that left before this are known */
+    int64_t last_step_us;     /* of the last step */
+    int64_t callers_known_us; /* callers that left before this are known */
 
     struct queueconf *queues;
     struct blob *config_text;
@@ -382,16 +387,17 @@
     uint64_t view; /* rises with each change of who may hold upstreams */
     struct holder_ref *holders; /* as peers_rank() found */
     size_t n_holders;
-    size_t holders_room;
-    int64_t load_us;
-    int64_t
-        roster_us;   /* when a registry first told who is there; 0: not yet */
-    bool had_load;   /* what the others were told last was not empty */
-    bool told_holds; /* the registries know that this one holds upstreams */
+    size_t holders_capacity;
+    int64_t next_load_us;
+    int64_t first_roster_us; /* when a registry first told who is there; 0: not
+                                yet */
+    bool load_reported;      /* what the others were told last was not empty */
+    bool
+        holds_reported; /* the registries know that this one holds upstreams */
 
     struct table caller_jobs;
     size_t n_unoffered;   /* of them: without a runner */
-    bool runners_changed; /* somebody told of room since these were offered */
+    bool runners_updated; /* somebody told of room since these were offered */
     struct timers caller_timers;
 
     struct table run_jobs;
@@ -400,23 +406,25 @@
     struct table upstreams;
     struct map upstreams_by_name;
     struct table calls;
-    bool settled;      /* opts.settle_us have passed, as of the last step */
-    bool review;       /* who holds what has to be decided again */
-    int64_t review_us; /* not before that */
-    struct rec_held_upstream *holds; /* to be told at the end of the step */
-    size_t n_holds;
-    size_t holds_room;
-    struct msg *local; /* to this process itself, taken before the step ends */
-    size_t n_local;
-    size_t local_room;
+    bool discovery_over; /* opts.settle_us have passed, as of the last step */
+    bool review_due;     /* who holds what has to be decided again */
+    int64_t next_review_us; /* not before that */
+    struct rec_held_upstream
+        *hold_updates; /* to be told at the end of the step */
+    size_t n_hold_updates;
+    size_t hold_updates_capacity;
+    struct msg
+        *local_msgs; /* to this process itself, taken before the step ends */
+    size_t n_local_msgs;
+    size_t local_msgs_capacity;
 
     bool stopping;
-    bool lingers; /* though it stops, see broker_linger.c */
-    bool stopped_told;
-    int64_t stop_us;
-    int64_t ack_us;     /* mean time of an upstream's answer, as TCP reckons
-                         * its retransmission time */
-    int64_t ack_dev_us; /* mean deviation from it */
+    bool draining; /* though it stops, see broker_linger.c */
+    bool stopped_reported;
+    int64_t stop_begun_us;
+    int64_t ack_mean_us; /* mean time of an upstream's answer, as TCP reckons
+                          * its retransmission time */
+    int64_t ack_dev_us;  /* mean deviation from it */
     struct broker_counters counters;
     struct broker_histograms histograms;
 };
@@ -485,62 +493,64 @@
 void peers_send_zone(struct broker *b, struct msg *m);
 
 /* broker_caller.c */
-void callers_submit(struct broker *b, const struct bev_submit *s);
-void callers_cancel(struct broker *b, const struct bev_cancel *c);
-void callers_gone(struct broker *b, uint64_t request);
-void callers_on_end(struct broker *b, struct name from,
-                    const struct rec_job_end *e);
+void caller_on_submit(struct broker *b, const struct bev_submit *s);
+void caller_on_cancel(struct broker *b, const struct bev_cancel *c);
+void caller_on_disconnect(struct broker *b, uint64_t request);
+void caller_on_job_end(struct broker *b, struct name from,
+                       const struct rec_job_end *e);
 
-/** callers_runner_lost() - what was offered to that broker is unknown */
-void callers_runner_lost(struct broker *b, struct name runner);
-void callers_tick(struct broker *b);
-int64_t callers_next_us(const struct broker *b);
+/** caller_on_runner_lost() - what was offered to that broker is unknown */
+void caller_on_runner_lost(struct broker *b, struct name runner);
+void caller_tick(struct broker *b);
+int64_t caller_next_us(const struct broker *b);
 
 /* broker_run.c */
-void runs_on_offer(struct broker *b, struct name from,
-                   const struct rec_job_offer *o);
-void runs_on_drop(struct broker *b, struct name from, uint64_t number);
+void run_on_offer(struct broker *b, struct name from,
+                  const struct rec_job_offer *o);
+void run_on_drop(struct broker *b, struct name from, uint64_t number);
 
-/** runs_taker_lost() - nobody waits for that broker's jobs any more */
-void runs_taker_lost(struct broker *b, struct name taker);
+/** run_on_taker_lost() - nobody waits for that broker's jobs any more */
+void run_on_taker_lost(struct broker *b, struct name taker);
 
-/** runs_task() - the task a placed one refers to, or NULL */
-struct run_task *runs_task(struct broker *b, const struct placed_task *p,
-                           struct run_job **job);
+/** run_find_task() - the task a placed one refers to, or NULL */
+struct run_task *run_find_task(struct broker *b, const struct placed_task *p,
+                               struct run_job **job);
 
-/** runs_started() - a start is sent */
-void runs_started(struct broker *b, struct run_job *job, struct run_task *t,
-                  struct broker_upstream *u);
+/** run_mark_started() - a start is sent */
+void run_mark_started(struct broker *b, struct run_job *job,
+                      struct run_task *t, struct broker_upstream *u);
 
-/** runs_ready() - a placed task is surely not at its upstream any more and
+/** run_mark_ready() - a placed task is surely not at its upstream any more and
  * may be started again */
-void runs_ready(struct broker *b, struct run_job *job, struct run_task *t);
+void run_mark_ready(struct broker *b, struct run_job *job, struct run_task *t);
 
-/** runs_done() - a run ended well */
-void runs_done(struct broker *b, struct run_job *job, struct run_task *t);
+/** run_mark_done() - a run ended well */
+void run_mark_done(struct broker *b, struct run_job *job, struct run_task *t);
 
-/** runs_failed() - a run failed, by its own fault or its upstream's */
-void runs_failed(struct broker *b, struct run_job *job, struct run_task *t);
+/** run_mark_failed() - a run failed, by its own fault or its upstream's */
+void run_mark_failed(struct broker *b, struct run_job *job,
+                     struct run_task *t);
 
-/** runs_tick() - places what waits, gives up what is hopeless */
-void runs_tick(struct broker *b);
-int64_t runs_next_us(const struct broker *b);
+/** run_tick() - places what waits, gives up what is hopeless */
+void run_tick(struct broker *b);
+int64_t run_next_us(const struct broker *b);
 
-/** runs_give_up() - its taker may still wait, and is told */
-void runs_give_up(struct broker *b, struct run_job *job,
-                  enum broker_reason reason);
+/** run_abandon_job() - its taker may still wait, and is told */
+void run_abandon_job(struct broker *b, struct run_job *job,
+                     enum broker_reason reason);
 
-/** runs_paused() - what ran here is over, and its outcome not known */
-void runs_paused(struct broker *b);
+/** run_on_pause() - what ran here is over, and its outcome not known */
+void run_on_pause(struct broker *b);
 
-/** runs_return() - a stop began: what has not started goes elsewhere */
-void runs_return(struct broker *b);
+/** run_return_unstarted() - a stop began: what has not started goes elsewhere
+ */
+void run_return_unstarted(struct broker *b);
 
-/** runs_service() - of that name; made where there is none */
-struct broker_service *runs_service(struct broker *b, struct name name);
+/** run_get_service() - of that name; made where there is none */
+struct broker_service *run_get_service(struct broker *b, struct name name);
 
-/** runs_label() - number of a task in its job, for logs */
-int32_t runs_label(const struct run_job *job, const struct run_task *t);
+/** run_task_number() - number of a task in its job, for logs */
+int32_t run_task_number(const struct run_job *job, const struct run_task *t);
 
 /* broker_renew.c */
 
@@ -642,24 +652,25 @@
 /** share_update() - brings what is measured up to date */
 void share_update(struct broker *b, struct broker_service *s, double able);
 
-/** share_late_started() - a late job with that much work was started */
-void share_late_started(struct broker_service *s, double work);
+/** share_add_late_start() - a late job with that much work was started */
+void share_add_late_start(struct broker_service *s, double work);
 
-/** share_offer() - a job with that much work came, whatever becomes of it */
-void share_offer(struct broker *b, struct broker_service *s,
-                 struct queue_history *q, double work, double able);
+/** share_add_demand() - a job with that much work came, whatever becomes of it
+ */
+void share_add_demand(struct broker *b, struct broker_service *s,
+                      struct queue_stats *q, double work, double able);
 
-/** share_offered() - milli-cores that what comes in would keep busy */
-double share_offered(const struct broker_service *s);
+/** share_total_demand() - milli-cores that what comes in would keep busy */
+double share_total_demand(const struct broker_service *s);
 
-/** share_of_spare() - how much of its spare time a job of the queue may wait:
- * all of it while the queue has something left of its share, or all that comes
- * in fits; 0 to 1 */
-double share_of_spare(const struct broker_service *s,
-                      const struct queue_history *q, double able);
+/** share_wait_factor() - how much of its spare time a job of the queue may
+ * wait: all of it while the queue has something left of its share, or all that
+ * comes in fits; 0 to 1 */
+double share_wait_factor(const struct broker_service *s,
+                         const struct queue_stats *q, double able);
 
-/** share_take() - a job of the queue is let in */
-void share_take(struct queue_history *q, double work);
+/** share_spend_credit() - a job of the queue is let in */
+void share_spend_credit(struct queue_stats *q, double work);
 
 /* broker_place.c */
 
@@ -668,17 +679,18 @@
                                      const struct run_job *job,
                                      const struct run_task *t);
 
-/** place_waits() - a start of the task that was not answered may still be
- * carried out: it is placed at that upstream, or waits for it */
-bool place_waits(struct broker *b, const struct run_task *t);
+/** place_awaits_lost_start() - a start of the task that was not answered may
+ * still be carried out: it is placed at that upstream, or waits for it */
+bool place_awaits_lost_start(struct broker *b, const struct run_task *t);
 
-/** place_ever() - whether any known upstream could ever run such a task */
-bool place_ever(struct broker *b, const struct broker_service *s,
-                const struct rec_task_group *g);
+/** place_fits_any() - whether any known upstream could ever run such a task */
+bool place_fits_any(struct broker *b, const struct broker_service *s,
+                    const struct rec_task_group *g);
 
-/** place_remote() - how much longer such a task takes there for its data */
-double place_remote(const struct rec_task_group *g,
-                    const struct broker_upstream *u);
+/** place_remote_factor() - how much longer such a task takes there for its
+ * data */
+double place_remote_factor(const struct rec_task_group *g,
+                           const struct broker_upstream *u);
 
 /** place_expected_us() - run time of such a task there */
 int64_t place_expected_us(const struct run_job *job,
@@ -749,7 +761,7 @@
                    const struct run_job *job, const struct run_task *t);
 
 /* broker_answer.c */
-void answer_on_called(struct broker *b, const struct bev_called *c);
+void answer_on_call_end(struct broker *b, const struct bev_called *c);
 
 /* broker_linger.c */
 
--- a/src/broker_trust.c
+++ b/src/broker_trust.c
@@ -5,8 +5,8 @@
  * itself.  After a few failures in a row it gets nothing for a while, then one
  * task at a time until one succeeds.  Jobs that fail everywhere must not put
  * sound upstreams out: a job counts against an upstream only by its first
- * failure (see runs_failed()), and at most half of the upstreams that are held
- * may be out at once.
+ * failure (see run_mark_failed()), and at most half of the upstreams that are
+ * held may be out at once.
  */
 #include "broker_state.h"
 
@@ -29,7 +29,7 @@
 
     while ((u = table_next(&b->upstreams, &at, &h)) != NULL) {
         held += u->state == HOLD_OPEN ? 1 : 0;
-        out += u->state == HOLD_OPEN && u->until_us > 0 ? 1 : 0;
+        out += u->state == HOLD_OPEN && u->quarantine_until_us > 0 ? 1 : 0;
     }
     return 2 * (out + 1) > held;
 }
@@ -39,15 +39,15 @@
          double weight)
 {
     u->failures = 0;
-    if (u->until_us > 0) {
+    if (u->quarantine_until_us > 0) {
         broker_log(b, LOG_NOTICE, BROKER_RESTORED, 0, -1, u->name,
                    "a task succeeded");
     }
-    u->until_us = 0;
+    u->quarantine_until_us = 0;
     u->backoff_us = 0;
     sample = sample < SLOWNESS_MIN ? SLOWNESS_MIN : sample;
     sample = sample > SLOWNESS_MAX ? SLOWNESS_MAX : sample;
-    if (!b->opts.without[BROKER_PART_SLOW]) {
+    if (!b->opts.disabled[BROKER_FEATURE_SLOW]) {
         u->slowness += weight * (sample - u->slowness);
     }
 }
@@ -56,15 +56,16 @@
 trust_failed(struct broker *b, struct broker_upstream *u)
 {
     u->failures++;
-    if (u->failures < FAILURES_MAX || (u->until_us == 0 && half_are_out(b)) ||
-        b->opts.without[BROKER_PART_FAILING]) {
+    if (u->failures < FAILURES_MAX ||
+        (u->quarantine_until_us == 0 && half_are_out(b)) ||
+        b->opts.disabled[BROKER_FEATURE_FAILING]) {
         return;
     }
     u->backoff_us = u->backoff_us == 0 ? BACKOFF_MIN_US : 2 * u->backoff_us;
     if (u->backoff_us > BACKOFF_MAX_US) {
         u->backoff_us = BACKOFF_MAX_US;
     }
-    u->until_us = b->now.mono_us + u->backoff_us;
+    u->quarantine_until_us = b->now.mono_us + u->backoff_us;
     b->counters.quarantines++;
     broker_log(b, LOG_WARNING, BROKER_QUARANTINED, 0, -1, u->name,
                "%u failures in a row, for %lld ms", u->failures,
@@ -74,8 +75,8 @@
 bool
 trust_allows(const struct broker *b, const struct broker_upstream *u)
 {
-    if (u->until_us == 0) {
+    if (u->quarantine_until_us == 0) {
         return true;
     }
-    return b->now.mono_us >= u->until_us && u->n_tasks == 0;
+    return b->now.mono_us >= u->quarantine_until_us && u->n_tasks == 0;
 }
--- a/src/replay.c
+++ b/src/replay.c
@@ -70,9 +70,9 @@
 };
 
 static const char *const part_names[] = {
-#define BROKER_PART(NAME, text) #NAME,
-    BROKER_PART_LIST(BROKER_PART)
-#undef BROKER_PART
+#define BROKER_FEATURE(NAME, text) #NAME,
+    BROKER_FEATURE_LIST(BROKER_FEATURE)
+#undef BROKER_FEATURE
 };
 
 static const struct vlease_queue customers[] = {
@@ -117,15 +117,15 @@
      .timeout_us = 12 * SEC},
 };
 
-enum broker_part
+enum broker_feature
 replay_part(const char *name)
 {
     int part = 0;
 
-    while (part < BROKER_PARTS && strcmp(part_names[part], name) != 0) {
+    while (part < BROKER_FEATURES && strcmp(part_names[part], name) != 0) {
         part++;
     }
-    return (enum broker_part)part;
+    return (enum broker_feature)part;
 }
 
 static void
--- a/src/replay.h
+++ b/src/replay.h
@@ -47,7 +47,7 @@
 struct replay_options {
     uint32_t seeds;
     bool bounded;
-    bool without[BROKER_PARTS];
+    bool without[BROKER_FEATURES];
 };
 
 /** replay_run() - all seeds of one; false where a promise was broken */
@@ -59,8 +59,8 @@
 bool replay_draw(uint64_t seed, const struct replay_options *o,
                  struct vcredit *out);
 
-/** replay_part() - the part of that name, or BROKER_PARTS */
-enum broker_part replay_part(const char *name);
+/** replay_part() - the part of that name, or BROKER_FEATURES */
+enum broker_feature replay_part(const char *name);
 
 /** replays_print() - a table of all replays, and of @draws drawn ones; false
  * where a promise was broken */
--- a/src/vlease.c
+++ b/src/vlease.c
@@ -318,7 +318,7 @@
     struct broker_effects fx = {0};
 
     ev->now = vlease_moment(v, p);
-    ev->callers_us =
+    ev->callers_known_us =
         v->now_us <= p->unpolled_until_us ? p->polled_us : v->now_us;
     broker_step(p->broker, ev, &fx);
     for (size_t i = 0; i < fx.n; i++) {
--- a/src/vlease.h
+++ b/src/vlease.h
@@ -87,7 +87,7 @@
     int64_t late_us;
     uint64_t seed;
     bool breaks[BROKER_BREAKS];
-    bool without[BROKER_PARTS];
+    bool without[BROKER_FEATURES];
     double leave;
     int64_t reborn_silent_us;
 };
--- a/src/vleasefault.c
+++ b/src/vleasefault.c
@@ -80,9 +80,9 @@
     o.n_registries = v->opts.zones;
     o.seed = v->opts.seed + (uint64_t)p->number * 7919 + p->life;
     o.read_config = vlease_read_config;
-    o.resend_us = v->opts.told_resend_us;
+    o.resubmit_us = v->opts.told_resend_us;
     memcpy(o.breaks, v->opts.breaks, sizeof(o.breaks));
-    memcpy(o.without, v->opts.without, sizeof(o.without));
+    memcpy(o.disabled, v->opts.without, sizeof(o.disabled));
     p->broker = broker_new(&o);
     vlease_step(v, p, &(struct broker_event){.kind = BEV_TICK});
     connect_to(v, p, v->n_processes);
--- a/tests/broker_load_test.c
+++ b/tests/broker_load_test.c
@@ -382,7 +382,7 @@
     job->self = h;
     job->id = handle_number(h);
     job->taker = b->opts.self;
-    job->service = runs_service(b, name_of("service"));
+    job->service = run_get_service(b, name_of("service"));
     job->groups = calloc(1, sizeof(*job->groups));
     job->tasks = calloc(1, sizeof(*job->tasks));
     if (job->groups == NULL || job->tasks == NULL) {
@@ -392,7 +392,7 @@
     job->n_groups = 1;
     job->tasks[0].state = RUN_READY;
     job->n_tasks = 1;
-    job->n_left = 1;
+    job->n_unfinished = 1;
     job->n_ready = 1;
     job->late = true;
     job->started = true;
--- a/tests/config_spread_test.c
+++ b/tests/config_spread_test.c
@@ -353,11 +353,11 @@
     s->mute_asked = true;
     cluster_publish_ranked(s->cl, cluster_leader(s->cl), r, 7, text);
     (void)until_asked(s);
-    CU_ASSERT_TRUE(broker_config_behind(s->broker));
+    CU_ASSERT_TRUE(broker_config_outdated(s->broker));
     (void)until_in_force_us(s, 7);
     CU_ASSERT_TRUE(s->cl->answers[r].done);
     CU_ASSERT_TRUE(s->cl->now_us - from_us <= APPLY_US);
-    CU_ASSERT_FALSE(broker_config_behind(s->broker));
+    CU_ASSERT_FALSE(broker_config_outdated(s->broker));
     blob_unref(text);
     spread_free(s);
 }
@@ -415,7 +415,7 @@
     cluster_publish_ranked(s->cl, cluster_leader(s->cl), ++s->next, 7, text);
     run(s, 5 * SEC);
     CU_ASSERT_EQUAL(s->texts, 1);
-    CU_ASSERT_FALSE(broker_config_behind(s->broker));
+    CU_ASSERT_FALSE(broker_config_outdated(s->broker));
     publish(s, 8, 20);
     CU_ASSERT_TRUE(until_in_force_us(s, 8) <= APPLY_US);
     blob_unref(text);
--- a/tests/lives_test.c
+++ b/tests/lives_test.c
@@ -283,7 +283,7 @@
 {
     struct vlease_options o = long_jobs(seed);
 
-    o.without[BROKER_PART_OTHER_ZONES] = true;
+    o.without[BROKER_FEATURE_OTHER_ZONES] = true;
     o.n_queues = 3;
     o.queues[0].cpu_milli = 20000;
     o.queues[1] = o.queues[0];
@@ -364,7 +364,7 @@
     uint64_t job;
 
     o.keep_arrived = true;
-    o.without[BROKER_PART_OTHER_ZONES] = true;
+    o.without[BROKER_FEATURE_OTHER_ZONES] = true;
     v = ready_region(&o);
     job = vlease_submit(v, taker, 0);
     vlease_set_hook(v, lose_stops, &losing);
