--- a/src/admit.c
+++ b/src/admit.c
@@ -341,7 +341,7 @@
         n += s->classes[i].n;
         declared_us += s->classes[i].declared_us;
     }
-    return learn_sum_us(&s->learned, n, declared_us);
+    return estimate_sum_us(&s->run_estimate, n, declared_us);
 }
 
 /** running_us() - half of what runs is still to come, on average; it stands
@@ -349,7 +349,8 @@
 static int64_t
 running_us(const struct service_state *s, uint32_t capacity)
 {
-    int64_t each = s->learned.samples > 0 ? (int64_t)s->learned.mean_us : 0;
+    int64_t each =
+        s->run_estimate.samples > 0 ? (int64_t)s->run_estimate.mean_us : 0;
 
     return s->running < capacity ? 0 : each * s->running / 2;
 }
@@ -370,13 +371,13 @@
         declared_us += us;
         longest_us = us > longest_us ? us : longest_us;
     }
-    work_us = learn_sum_us(&s->learned, job->n_tasks, declared_us);
+    work_us = estimate_sum_us(&s->run_estimate, job->n_tasks, declared_us);
     running = running_us(s, capacity);
     x.own = work_us / capacity;
     x.ahead = (running + ahead_us(s, admit_class(work_us))) / capacity;
     x.all = (running + ahead_us(s, WORK_CLASSES - 1)) / capacity;
-    x.longest = learn_expected_us(&s->learned, longest_us);
-    x.tail = learn_longest_us(&s->learned, job->n_tasks, longest_us);
+    x.longest = estimate_mean_us(&s->run_estimate, longest_us);
+    x.tail = estimate_longest_us(&s->run_estimate, job->n_tasks, longest_us);
     return x;
 }
 
--- a/src/borrow.c
+++ b/src/borrow.c
@@ -312,9 +312,9 @@
 {
     uint32_t slots = s->running > 0 ? s->running : 1;
     int64_t waited = e->now.mono_us - s->borrowing->blocked_us;
-    int64_t clear = (int64_t)s->learned.mean_us * wanted / slots;
+    int64_t clear = (int64_t)s->run_estimate.mean_us * wanted / slots;
 
-    if (s->learned.samples < SAMPLES_FEW) {
+    if (s->run_estimate.samples < SAMPLES_FEW) {
         return INT64_MAX;
     }
     return waited > clear ? waited : clear;
--- a/src/broker.c
+++ b/src/broker.c
@@ -183,10 +183,10 @@
         config_on_reply(b, from, &m->u.config_reply);
         break;
     case MSG_UPSTREAM_REPORT:
-        hold_on_report(b, &m->u.upstream_report);
+        hold_on_upstream_report(b, &m->u.upstream_report);
         break;
     case MSG_UPSTREAM_HOLDS:
-        hold_on_holds(b, from, &m->u.upstream_holds);
+        hold_on_peer_holds(b, from, &m->u.upstream_holds);
         break;
     case MSG_BROKER_LOAD:
         peers_on_load(b, from, &m->u.broker_load);
@@ -198,7 +198,7 @@
         run_on_drop(b, from, m->u.job_drop.number);
         break;
     case MSG_JOB_CHECK:
-        renew_asked(b, from, m->u.job_check.sent_us, true);
+        renew_on_request(b, from, m->u.job_check.sent_us, true);
         break;
     case MSG_JOB_RENEWAL:
         renew_on_renewal(b, from, &m->u.job_renewal);
@@ -243,7 +243,7 @@
     b->discovery_over = false;
     b->first_roster_us = 0;
     run_on_pause(b);
-    hold_paused(b);
+    hold_on_pause(b);
 }
 
 static void
@@ -257,8 +257,8 @@
     broker_log(b, LOG_NOTICE, BROKER_STOP_BEGUN, 0, -1, b->opts.self,
                "%zu jobs of callers, %zu run here", b->caller_jobs.n,
                b->run_jobs.n);
-    linger_begin(b);
-    peers_stopping(b);
+    shutdown_begin(b);
+    peers_announce_stop(b);
     b->review_due = true;
 }
 
@@ -282,7 +282,7 @@
         on_message(b, ev->u.message.from, ev->u.message.msg);
         break;
     case BEV_PEER:
-        peers_on_peer(b, ev->u.peer.peer, ev->u.peer.up);
+        peers_on_connection(b, ev->u.peer.peer, ev->u.peer.up);
         break;
     case BEV_STOP:
         begin_stop(b);
@@ -298,7 +298,8 @@
 tell_stopped(struct broker *b)
 {
     int64_t since = b->now.mono_us - b->stop_begun_us;
-    bool idle = b->caller_jobs.n == 0 && b->run_jobs.n == 0 && !hold_any(b);
+    bool idle =
+        b->caller_jobs.n == 0 && b->run_jobs.n == 0 && !hold_has_any(b);
 
     if (!b->stopping || b->stopped_reported ||
         (since < b->opts.stop_timeout_us &&
@@ -312,7 +313,7 @@
 static void
 tick(struct broker *b)
 {
-    linger_tick(b);
+    shutdown_tick(b);
     config_tick(b);
     peers_tick(b);
     renew_tick(b);
@@ -321,7 +322,7 @@
     if (b->review_due && b->now.mono_us >= b->next_review_us) {
         b->review_due = false;
         b->next_review_us = b->now.mono_us + REVIEW_PAUSE_US;
-        hold_review(b);
+        hold_reassign(b);
     }
     run_tick(b);
 }
@@ -345,7 +346,7 @@
     take_local(b);
     run_tick(b);
     take_local(b);
-    hold_flush(b);
+    hold_notify_zone(b);
     tell_stopped(b);
     b->fx = NULL;
 }
@@ -366,7 +367,7 @@
     at = least(at, caller_next_us(b));
     at = least(at, hold_next_us(b));
     at = least(at, run_next_us(b));
-    at = least(at, linger_next_us(b));
+    at = least(at, shutdown_next_us(b));
     at = least(at, renew_next_us(b));
     at = b->review_due ? least(at, b->next_review_us) : at;
     if (b->stopping && !b->stopped_reported) {
@@ -385,7 +386,7 @@
         return false;
     }
     for (const struct broker_peer *p = b->peers; p != NULL; p = p->next) {
-        if (peers_runs_jobs(p) && p->n_loads > 0) {
+        if (peers_can_run_jobs(p) && p->n_loads > 0) {
             return true;
         }
     }
--- a/src/broker_answer.c
+++ b/src/broker_answer.c
@@ -57,7 +57,7 @@
     for (size_t i = 0; i < u->n_tasks; i++) {
         struct run_task *t = run_find_task(b, &u->tasks[i], job);
 
-        if (same_run(lease_ref(*job, t), ref)) {
+        if (same_run(lease_task_ref(*job, t), ref)) {
             return t;
         }
     }
@@ -74,11 +74,12 @@
                    place_remote_factor(&job->groups[t->group], u);
 
     if (job->n_done > 0 && job->n_groups == 1) {
-        trust_ok(b, u, ran_us * job->n_done / (double)job->total_run_us,
-                 SIBLINGS_WEIGHT);
+        broker_health_task_done(
+            b, u, ran_us * job->n_done / (double)job->total_run_us,
+            SIBLINGS_WEIGHT);
     }
     else if (usual > 0) {
-        trust_ok(b, u, ran_us / usual, DECLARED_WEIGHT);
+        broker_health_task_done(b, u, ran_us / usual, DECLARED_WEIGHT);
     }
 }
 
@@ -94,7 +95,7 @@
      * then rest on the other, and both could drift off together. */
     histogram_add(&b->histograms.run, b->now.mono_us - t->start_sent_us);
     if (!b->opts.disabled[BROKER_FEATURE_LEARNED]) {
-        order_learn(job, g, (int64_t)ran_us + 1);
+        order_record_run(job, g, (int64_t)ran_us + 1);
     }
     judge_speed(b, u, job, t, ran_us);
     job->n_done++;
@@ -112,25 +113,25 @@
     if (t == NULL) {
         return; /* of a broker before us, or settled otherwise */
     }
-    if (e->how != LEASE_DONE) {
+    if (e->outcome != LEASE_END_DONE) {
         broker_log(
             b, LOG_INFO, BROKER_RUN_ENDED, job->id, run_task_number(job, t),
             u->name, "%s, run %llu, after %lld ms",
-            e->how == LEASE_FAILED    ? "failed"
-            : e->how == LEASE_STOPPED ? "stopped"
-            : e->how == LEASE_LAPSED  ? "lapsed"
-                                      : "broken",
+            e->outcome == LEASE_END_FAILED    ? "failed"
+            : e->outcome == LEASE_END_STOPPED ? "stopped"
+            : e->outcome == LEASE_END_EXPIRED ? "lapsed"
+                                              : "broken",
             (unsigned long long)t->run,
             (long long)((b->now.mono_us - t->start_sent_us) / USEC_PER_MSEC));
     }
-    switch (e->how) {
-    case LEASE_DONE:
+    switch (e->outcome) {
+    case LEASE_END_DONE:
         ended_well(b, u, job, t);
         break;
-    case LEASE_FAILED:
+    case LEASE_END_FAILED:
         run_mark_failed(b, job, t);
         break;
-    case LEASE_STOPPED:
+    case LEASE_END_STOPPED:
         b->counters.tasks_stopped++;
         run_mark_ready(b, job, t);
         break;
@@ -208,7 +209,7 @@
                    run_task_number(job, t), u->name,
                    "run %llu at %u %% for %lld ms", (unsigned long long)t->run,
                    percent, (long long)(still_us / USEC_PER_MSEC));
-        trust_failed(b, u);
+        broker_health_task_failed(b, u);
         t->avoid_upstream = u->name;
         lease_stop(b, u, job, t);
     }
@@ -265,7 +266,7 @@
     int64_t late_us =
         b->opts.lease_us +
         (int64_t)((double)b->opts.lease_us * 2.0 * b->opts.clock_drift) +
-        LAPSE_SLACK_US;
+        EXPIRY_SLACK_US;
 
     for (size_t i = u->n_tasks; i > 0; i--) {
         struct run_job *job;
@@ -277,7 +278,7 @@
             continue; /* settling one may have ended its job */
         }
         t = run_find_task(b, &u->tasks[i - 1], &job);
-        if (is_running(a, lease_ref(job, t))) {
+        if (is_running(a, lease_task_ref(job, t))) {
             continue;
         }
         stopped = t->stop_confirmed_us <= sent_us;
@@ -331,13 +332,13 @@
     bool strangers;
 
     if (a->result != LEASE_OK) {
-        hold_missed(b, u);
+        hold_on_poll_failure(b, u);
         return;
     }
     take_ends(b, u, a);
     if (stale) {
         /* A peek that was answered meanwhile knew better what runs. */
-        hold_answered(b, u, u->unknown_runs);
+        hold_on_poll_answer(b, u, u->unknown_runs);
         return;
     }
     strangers = take_running(b, u, a);
@@ -345,7 +346,7 @@
         settle(b, u, a, sent_us);
         stop_again(b, u);
     }
-    hold_answered(b, u, strangers);
+    hold_on_poll_answer(b, u, strangers);
 }
 
 /* Answers to starts and stops */
@@ -358,16 +359,16 @@
     broker_log(b, LOG_INFO, BROKER_START_REFUSED, job->id,
                run_task_number(job, t), u->name, "run %llu: %s",
                (unsigned long long)t->run, lease_result_text(result));
-    if (result == LEASE_NO_ROOM) {
+    if (result == LEASE_NO_CAPACITY) {
         u->full_until_us = b->now.mono_us + NO_ROOM_US;
         u->poll_us = u->poll == 0 ? b->now.mono_us : u->poll_us;
     }
     else if (result == LEASE_UNHEALTHY || result == LEASE_UNSENT ||
-             result == LEASE_OTHER_LIFE) {
-        trust_failed(b, u);
+             result == LEASE_WRONG_UPSTREAM) {
+        broker_health_task_failed(b, u);
         t->avoid_upstream = u->name;
     }
-    if (result == LEASE_BAD) {
+    if (result == LEASE_BAD_REQUEST) {
         run_mark_failed(b, job, t);
         return;
     }
@@ -398,7 +399,7 @@
             t->progress_us = b->now.mono_us;
         }
         break;
-    case LEASE_LOST:
+    case LEASE_NO_ANSWER:
         b->counters.starts_lost++;
         broker_log(b, LOG_NOTICE, BROKER_START_LOST, job->id,
                    run_task_number(job, t), u->name, "run %llu",
@@ -429,7 +430,7 @@
         t->stop_confirmed_us = b->now.mono_us;
         u->quick_poll_due = true;
     }
-    else if (t->state == RUN_STOPPING && result == LEASE_LOST) {
+    else if (t->state == RUN_STOPPING && result == LEASE_NO_ANSWER) {
         u->quick_poll_due = true; /* sends it again, if need be */
     }
 }
@@ -486,7 +487,7 @@
         return false;
     }
     if (a->born_ms > u->born_ms) {
-        hold_reborn(b, u, a->born_ms);
+        hold_on_restart(b, u, a->born_ms);
     }
     return true;
 }
@@ -547,18 +548,18 @@
     }
     if (a->result == LEASE_FENCED && u->state != HOLD_NONE &&
         u->state != HOLD_LOST) {
-        hold_fenced(b, u);
+        hold_on_fenced(b, u);
         return;
     }
     stale = a->clock_ms > 0 && a->clock_ms < u->clock_ms;
     if (!stale) {
         sync_clock(b, u, a);
     }
-    if (c.kind == LEASE_LOOK) {
+    if (c.kind == LEASE_POLL) {
         on_any_look(b, u, a, &c, peek, stale);
         return;
     }
-    if (a->result != LEASE_LOST && a->result != LEASE_UNSENT) {
+    if (a->result != LEASE_NO_ANSWER && a->result != LEASE_UNSENT) {
         note_answer(b, b->now.mono_us - c.sent_us);
     }
     on_task_call(b, u, &c, a->result);
--- a/src/broker_caller.c
+++ b/src/broker_caller.c
@@ -191,7 +191,8 @@
         struct broker_load *l = load_of(p, o->service);
         int64_t us;
 
-        if (l == NULL || !peers_runs_jobs(p) || name_equal(p->name, except)) {
+        if (l == NULL || !peers_can_run_jobs(p) ||
+            name_equal(p->name, except)) {
             continue;
         }
         if (b->opts.disabled[BROKER_FEATURE_OTHER_ZONES] &&
@@ -235,7 +236,7 @@
     note_sent(p, o);
     c->runner = p->name;
     c->confirmed_us = b->now.mono_us;
-    o->heard_us = renew_sure_us(b, p);
+    o->heard_us = renew_confirmable_us(b, p);
     o->age_us = (uint64_t)(b->now.mono_us - c->accepted_us);
     o->deadline_us = (uint64_t)(c->deadline_us - b->now.mono_us);
     copy = msg_copy(&c->offer);
--- a/src/broker_hold.c
+++ b/src/broker_hold.c
@@ -86,7 +86,7 @@
 /* Together: a broker that starts takes 32 upstreams in one step, and a message
  * for each to ninety others would be most of what all of them receive. */
 void
-hold_flush(struct broker *b)
+hold_notify_zone(struct broker *b)
 {
     struct msg m = {.kind = MSG_UPSTREAM_HOLDS};
     struct rec_upstream_holds *list = &m.u.upstream_holds;
@@ -102,11 +102,11 @@
            b->n_hold_updates * sizeof(*b->hold_updates));
     list->n_upstreams = b->n_hold_updates;
     b->n_hold_updates = 0;
-    peers_send_zone(b, &m);
+    peers_send_to_zone(b, &m);
 }
 
 void
-hold_tell(struct broker *b, struct name to)
+hold_send_held(struct broker *b, struct name to)
 {
     struct msg m = {.kind = MSG_UPSTREAM_HOLDS};
     struct rec_upstream_holds *list = &m.u.upstream_holds;
@@ -150,8 +150,8 @@
 }
 
 void
-hold_on_holds(struct broker *b, struct name from,
-              const struct rec_upstream_holds *h)
+hold_on_peer_holds(struct broker *b, struct name from,
+                   const struct rec_upstream_holds *h)
 {
     for (size_t i = 0; i < h->n_upstreams; i++) {
         const struct rec_held_upstream *r = &h->upstreams[i];
@@ -262,7 +262,7 @@
  * was cut off and knows no better.  Fighting for the upstream would only kill
  * the runs of both, so it is not taken back until the view has changed. */
 void
-hold_fenced(struct broker *b, struct broker_upstream *u)
+hold_on_fenced(struct broker *b, struct broker_upstream *u)
 {
     if (u->state == HOLD_TAKING && u->fence_retries < FENCED_MAX) {
         u->fence_retries++;
@@ -281,7 +281,7 @@
 /* The new life knows nothing of the runs before, nor of the fence: a start of
  * the old life that is still under way must meet a higher one. */
 void
-hold_reborn(struct broker *b, struct broker_upstream *u, uint64_t born_ms)
+hold_on_restart(struct broker *b, struct broker_upstream *u, uint64_t born_ms)
 {
     broker_log(b, LOG_NOTICE, BROKER_UPSTREAM_REBORN, 0, -1, u->name,
                "life %llu after %llu, %zu tasks were there",
@@ -320,7 +320,8 @@
 }
 
 void
-hold_answered(struct broker *b, struct broker_upstream *u, bool strangers)
+hold_on_poll_answer(struct broker *b, struct broker_upstream *u,
+                    bool strangers)
 {
     u->missed_polls = 0;
     u->unknown_runs = strangers;
@@ -343,7 +344,7 @@
 }
 
 void
-hold_missed(struct broker *b, struct broker_upstream *u)
+hold_on_poll_failure(struct broker *b, struct broker_upstream *u)
 {
     u->missed_polls++;
     if (u->state == HOLD_OPEN && u->missed_polls >= MISSES_MAX) {
@@ -405,7 +406,7 @@
 }
 
 void
-hold_on_report(struct broker *b, const struct rec_upstream_report *r)
+hold_on_upstream_report(struct broker *b, const struct rec_upstream_report *r)
 {
     for (size_t i = 0; i < r->n_upstreams; i++) {
         const struct rec_leased_upstream *one = &r->upstreams[i];
@@ -420,7 +421,7 @@
             continue;
         }
         if (known && one->born_ms != u->born_ms) {
-            hold_reborn(b, u, one->born_ms);
+            hold_on_restart(b, u, one->born_ms);
         }
         if (!known) {
             u->born_ms = one->born_ms;
@@ -441,7 +442,7 @@
     /* Not from the start: when everything starts at once, the first word of a
      * registry names only those that found it before us. */
     return b->now.mono_us - b->started_us >= b->opts.discovery_us ||
-           (peers_zone_is_here(b) &&
+           (peers_zone_connected(b) &&
             b->now.mono_us - b->first_roster_us >= b->opts.discovery_min_us);
 }
 
@@ -536,7 +537,7 @@
 }
 
 void
-hold_review(struct broker *b)
+hold_reassign(struct broker *b)
 {
     struct assign_item *items = calloc(b->upstreams.n + 1, sizeof(*items));
     size_t n;
@@ -544,7 +545,7 @@
     if (items == NULL) {
         abort();
     }
-    peers_rank(b);
+    peers_update_holders(b);
     n = list_zone(b, items);
     if (b->n_holders > 0) {
         assign_holders(items, n, b->n_holders);
@@ -556,7 +557,7 @@
 }
 
 void
-hold_paused(struct broker *b)
+hold_on_pause(struct broker *b)
 {
     struct broker_upstream *u;
     struct handle h;
@@ -571,7 +572,7 @@
 }
 
 bool
-hold_any(const struct broker *b)
+hold_has_any(const struct broker *b)
 {
     const struct broker_upstream *u;
     struct handle h;
@@ -643,10 +644,10 @@
             continue;
         }
         if (u->poll == 0 && b->now.mono_us >= u->poll_us) {
-            lease_look(b, u);
+            lease_poll(b, u);
         }
         else if (u->quick_poll_due && u->quick_poll == 0) {
-            lease_peek(b, u);
+            lease_quick_poll(b, u);
         }
     }
     /* Nothing else may happen when the time to settle is over. */
--- a/src/broker_lease.c
+++ b/src/broker_lease.c
@@ -16,7 +16,7 @@
 #define ACK_MIN_US (40 * USEC_PER_MSEC)
 enum { ACK_DEVIATIONS = 8 };
 struct task_ref
-lease_ref(const struct run_job *job, const struct run_task *t)
+lease_task_ref(const struct run_job *job, const struct run_task *t)
 {
     return (struct task_ref){
         .job = job->id, .group = t->group, .index = t->index, .run = t->run};
@@ -52,7 +52,7 @@
     c->fence = u->fence;
     c->sent_us = b->now.mono_us;
     e->call = handle_number(h);
-    e->request.call = kind;
+    e->request.kind = kind;
     e->request.upstream = u->name;
     e->request.address = u->address;
     e->request.fence = u->fence;
@@ -79,7 +79,7 @@
 {
     double slow = 1.0 + 2.0 * b->opts.clock_drift;
     int64_t at =
-        b->now.mono_us + (int64_t)((double)left_us * slow) + LAPSE_SLACK_US;
+        b->now.mono_us + (int64_t)((double)left_us * slow) + EXPIRY_SLACK_US;
 
     if (b->opts.breaks[BROKER_BREAK_LAPSE_EARLY]) {
         at = b->now.mono_us + b->opts.lease_us / 2;
@@ -92,7 +92,7 @@
 static int64_t
 deadline_ms(struct broker *b, struct broker_upstream *u)
 {
-    int64_t left_us = renew_limit_us(b, u) - b->now.mono_us;
+    int64_t left_us = renew_upstream_limit_us(b, u) - b->now.mono_us;
     int64_t until_us;
 
     left_us = left_us < b->opts.lease_us ? left_us : b->opts.lease_us;
@@ -124,8 +124,8 @@
 }
 
 void
-lease_unplace(struct broker *b, struct broker_upstream *u,
-              const struct run_job *job, const struct run_task *t)
+lease_remove_task(struct broker *b, struct broker_upstream *u,
+                  const struct run_job *job, const struct run_task *t)
 {
     const struct rec_task_group *g = &job->groups[t->group];
     uint32_t task = (uint32_t)(t - job->tasks);
@@ -156,7 +156,7 @@
     c->job = job->self;
     c->task = (uint32_t)(t - job->tasks);
     c->run = t->run;
-    r->task = lease_ref(job, t);
+    r->task = lease_task_ref(job, t);
     r->spec = blob_ref(job->spec);
     r->deadline_ms = deadline_ms(b, u);
     if (u->poll == 0 && u->poll_us > b->now.mono_us) {
@@ -185,7 +185,7 @@
     t->stop_confirmed_us = INT64_MAX;
     t->stop_sent_us = b->now.mono_us;
     if (u != NULL && u->state != HOLD_LOST) {
-        lease_send_stop(b, u, lease_ref(job, t), job->self,
+        lease_send_stop(b, u, lease_task_ref(job, t), job->self,
                         (uint32_t)(t - job->tasks));
     }
 }
@@ -220,15 +220,15 @@
 }
 
 void
-lease_look(struct broker *b, struct broker_upstream *u)
+lease_poll(struct broker *b, struct broker_upstream *u)
 {
     int64_t wait_us = look_wait_us(b, u);
     struct broker_call *c;
-    struct lease_request *r = call(b, u, LEASE_LOOK, &c);
+    struct lease_request *r = call(b, u, LEASE_POLL, &c);
 
     u->poll = handle_number(c->self);
     u->poll_us = INT64_MAX;
-    r->noted = u->last_end;
+    r->acked = u->last_end;
     r->wait_ms = wait_us / USEC_PER_MSEC;
     r->timeout_us = answer_timeout_us(b) + wait_us;
     r->deadline_ms = extends(u) ? deadline_ms(b, u) : 0;
@@ -237,14 +237,14 @@
 }
 
 void
-lease_peek(struct broker *b, struct broker_upstream *u)
+lease_quick_poll(struct broker *b, struct broker_upstream *u)
 {
     struct broker_call *c;
-    struct lease_request *r = call(b, u, LEASE_LOOK, &c);
+    struct lease_request *r = call(b, u, LEASE_POLL, &c);
 
     u->quick_poll = handle_number(c->self);
     u->quick_poll_due = false;
-    r->noted = u->last_end;
+    r->acked = u->last_end;
     r->timeout_us = b->opts.call_timeout_us;
     b->counters.looks++;
 }
--- a/src/broker_linger.c
+++ b/src/broker_linger.c
@@ -23,9 +23,9 @@
 }
 
 void
-linger_begin(struct broker *b)
+shutdown_begin(struct broker *b)
 {
-    b->draining = hold_any(b) && !peers_successor(b);
+    b->draining = hold_has_any(b) && !peers_have_successor(b);
     if (b->draining) {
         b->next_load_us = b->now.mono_us; /* the others must know at once */
         broker_log(b, LOG_NOTICE, BROKER_LINGERS, 0, -1, b->opts.self,
@@ -37,10 +37,10 @@
 }
 
 void
-linger_tick(struct broker *b)
+shutdown_tick(struct broker *b)
 {
-    if (!b->draining ||
-        (b->now.mono_us < over_us(b) && hold_any(b) && !peers_successor(b))) {
+    if (!b->draining || (b->now.mono_us < over_us(b) && hold_has_any(b) &&
+                         !peers_have_successor(b))) {
         return;
     }
     b->draining = false;
@@ -52,13 +52,13 @@
 }
 
 int64_t
-linger_next_us(const struct broker *b)
+shutdown_next_us(const struct broker *b)
 {
     return b->draining ? over_us(b) : INT64_MAX;
 }
 
 bool
-linger_takes(const struct broker *b, const struct run_job *job)
+shutdown_accepts_job(const struct broker *b, const struct run_job *job)
 {
     int64_t chain_us = job->objective_us - job->latest_start_us;
     int64_t left_us =
--- a/src/broker_order.c
+++ b/src/broker_order.c
@@ -73,16 +73,17 @@
 int64_t
 order_expected_us(const struct run_job *job, const struct rec_task_group *g)
 {
-    return learn_expected_us(&history_of(job->service, job->queue)->learned,
-                             (int64_t)g->declared_us);
+    return estimate_mean_us(
+        &history_of(job->service, job->queue)->run_estimate,
+        (int64_t)g->declared_us);
 }
 
 void
-order_learn(struct run_job *job, const struct rec_task_group *g,
-            int64_t ran_us)
+order_record_run(struct run_job *job, const struct rec_task_group *g,
+                 int64_t ran_us)
 {
-    learn_sample(&history_of(job->service, job->queue)->learned,
-                 (int64_t)g->declared_us, ran_us);
+    estimate_add_run(&history_of(job->service, job->queue)->run_estimate,
+                     (int64_t)g->declared_us, ran_us);
 }
 
 /* The longest chain of groups that wait for each other.  A group waits only
@@ -122,8 +123,8 @@
 }
 
 void
-order_plan(struct broker *b, struct run_job *job,
-           const struct rec_job_offer *o)
+order_set_times(struct broker *b, struct run_job *job,
+                const struct rec_job_offer *o)
 {
     int64_t chain = longest_chain(job);
     int64_t objective =
@@ -304,7 +305,7 @@
 }
 
 void
-order_late_started(struct broker *b, struct run_job *job)
+order_on_late_start(struct broker *b, struct run_job *job)
 {
     struct room r = room_of(b, job->service);
 
@@ -436,7 +437,7 @@
 }
 
 void
-order_overdue(struct broker *b, struct run_job *job)
+order_demote_if_late(struct broker *b, struct run_job *job)
 {
     if (!job->late && !job->started && b->now.mono_us > job->latest_start_us) {
         order_remove(job);
@@ -446,7 +447,8 @@
 }
 
 bool
-order_hopeless(struct broker *b, const struct run_job *job, int64_t *retry_us)
+order_starts_too_late(struct broker *b, const struct run_job *job,
+                      int64_t *retry_us)
 {
     struct room r;
     int64_t start;
@@ -469,7 +471,7 @@
 }
 
 bool
-order_spare(struct broker *b, const struct run_job *job)
+order_late_can_start(struct broker *b, const struct run_job *job)
 {
     struct room r = room_of(b, job->service);
     double wide = r.cpu * WIDE_SHARE;
@@ -498,7 +500,7 @@
 }
 
 struct rec_service_load
-order_load(struct broker *b, const struct broker_service *s)
+order_service_load(struct broker *b, const struct broker_service *s)
 {
     struct rec_service_load l = {.service = s->name};
     struct room r = room_of(b, s);
--- a/src/broker_peer.c
+++ b/src/broker_peer.c
@@ -114,7 +114,7 @@
 {
     p->up = false;
     p->down_us = b->now.mono_us;
-    renew_forget(p);
+    renew_reset_peer(p);
     forget_loads(p);
     config_registry_lost(b, p);
     broker_log(b, LOG_NOTICE, BROKER_PEER_DOWN, 0, -1, p->name, "%s",
@@ -126,7 +126,7 @@
 }
 
 void
-peers_on_peer(struct broker *b, struct name name, bool up)
+peers_on_connection(struct broker *b, struct name name, bool up)
 {
     struct broker_peer *p = find_or_add(b, name);
 
@@ -141,7 +141,7 @@
     if (!p->registry) {
         /* Before the introduction: it may make the other one think that it
          * should hold them, and it would take them at once. */
-        hold_tell(b, name);
+        hold_send_held(b, name);
     }
     introduce(b, name, false);
     broker_log(b, LOG_NOTICE, BROKER_PEER_UP, 0, -1, name, "%s",
@@ -165,7 +165,7 @@
     p->incarnation = i->incarnation;
     p->stopping = i->stopping != 0;
     if (name_equal(p->zone, b->opts.zone)) {
-        hold_tell(b, from);
+        hold_send_held(b, from);
     }
     b->next_load_us = b->now.mono_us; /* it knows no load of ours yet */
     view_changed(b);
@@ -186,7 +186,7 @@
 }
 
 bool
-peers_zone_is_here(const struct broker *b)
+peers_zone_connected(const struct broker *b)
 {
     for (const struct broker_peer *p = b->peers; p != NULL; p = p->next) {
         if (!p->registry && !p->self && !p->up &&
@@ -246,7 +246,7 @@
         p->stopping = l->stopping != 0;
         view_changed(b);
     }
-    renew_asked(b, from, l->sent_us, false);
+    renew_on_request(b, from, l->sent_us, false);
 }
 
 /* Returns to how many. */
@@ -271,7 +271,7 @@
     }
     for (const struct broker_service *s = b->services; s != NULL;
          s = s->next) {
-        struct rec_service_load one = order_load(b, s);
+        struct rec_service_load one = order_service_load(b, s);
 
         if (one.cpu_milli > 0) {
             l->services[l->n_services++] = one;
@@ -304,7 +304,7 @@
 }
 
 void
-peers_stopping(struct broker *b)
+peers_announce_stop(struct broker *b)
 {
     b->self->stopping = true;
     for (struct broker_peer *p = b->peers; p != NULL; p = p->next) {
@@ -320,7 +320,7 @@
 static void
 tell_holds(struct broker *b)
 {
-    bool holds = hold_any(b);
+    bool holds = hold_has_any(b);
 
     if (holds == b->holds_reported) {
         return;
@@ -381,7 +381,7 @@
 }
 
 bool
-peers_successor(const struct broker *b)
+peers_have_successor(const struct broker *b)
 {
     for (const struct broker_peer *p = b->peers; p != NULL; p = p->next) {
         if (!p->self && may_hold(b, p)) {
@@ -392,7 +392,7 @@
 }
 
 bool
-peers_runs_jobs(const struct broker_peer *p)
+peers_can_run_jobs(const struct broker_peer *p)
 {
     return (p->up || p->self) && (!p->stopping || p->draining);
 }
@@ -428,7 +428,7 @@
  * can.  One queue for many upstreams leaves fewer idle than one queue each,
  * and the oldest keep what they have when others restart. */
 void
-peers_rank(struct broker *b)
+peers_update_holders(struct broker *b)
 {
     size_t upstreams = count_zone_upstreams(b);
     size_t wanted = (upstreams + b->opts.upstreams_per_holder - 1) /
@@ -450,7 +450,7 @@
 }
 
 void
-peers_send_zone(struct broker *b, struct msg *m)
+peers_send_to_zone(struct broker *b, struct msg *m)
 {
     for (const struct broker_peer *p = b->peers; p != NULL; p = p->next) {
         if (p->broker && p->up && name_equal(p->zone, b->opts.zone)) {
--- a/src/broker_place.c
+++ b/src/broker_place.c
@@ -100,9 +100,9 @@
     return u->state == HOLD_OPEN && !leaving && !u->gone && !u->unknown_runs &&
            u->full_until_us <= b->now.mono_us && u->n_tasks < u->slots &&
            resources_fit(need_of(g), room_of(u)) && suits(g, u) &&
-           trust_allows(b, u) &&
+           broker_health_allows(b, u) &&
            (g->spread == 0 || same_group(job, t, u) < g->spread) &&
-           renew_allows(b, job, u);
+           renew_allows_start(b, job, u);
 }
 
 static bool
@@ -131,7 +131,7 @@
     }
     held = (u->state == HOLD_OPEN && u->fence == t->lost_start_fence) ||
            (u->state == HOLD_TAKING && u->missed_polls == 0);
-    return held && !u->leaving && !u->gone && trust_allows(b, u) &&
+    return held && !u->leaving && !u->gone && broker_health_allows(b, u) &&
                    !name_equal(t->avoid_upstream, u->name)
                ? u
                : NULL;
--- a/src/broker_renew.c
+++ b/src/broker_renew.c
@@ -38,7 +38,7 @@
 renew_init(struct broker *b)
 {
     struct broker_options *o = &b->opts;
-    int64_t us = o->resubmit_us - NOTICE_US - LAPSE_SLACK_US;
+    int64_t us = o->resubmit_us - NOTICE_US - EXPIRY_SLACK_US;
 
     b->job_lease_us = (int64_t)((double)us / (1.0 + 2.0 * o->clock_drift));
     if (o->lease_us > b->job_lease_us) {
@@ -88,28 +88,29 @@
 }
 
 void
-renew_asked(struct broker *b, struct name from, uint64_t sent_us, bool check)
+renew_on_request(struct broker *b, struct name from, uint64_t sent_us,
+                 bool check)
 {
     struct broker_peer *p = peers_find(b, from);
 
     if (p == NULL || p->self) {
         return;
     }
-    p->confirmable_us = renew_sure_us(b, p);
+    p->confirmable_us = renew_confirmable_us(b, p);
     p->last_sent_us = sent_us;
     p->last_received_us = b->now.mono_us;
     p->wants_renewal = p->wants_renewal || check || renewal_due(b, from);
 }
 
 uint64_t
-renew_sure_us(const struct broker *b, const struct broker_peer *p)
+renew_confirmable_us(const struct broker *b, const struct broker_peer *p)
 {
     return p->last_received_us <= b->callers_known_us ? p->last_sent_us
                                                       : p->confirmable_us;
 }
 
 void
-renew_forget(struct broker_peer *p)
+renew_reset_peer(struct broker_peer *p)
 {
     p->last_sent_us = 0;
     p->confirmable_us = 0;
@@ -143,14 +144,14 @@
 /* The runner */
 
 int64_t
-renew_heard(const struct broker *b, uint64_t heard_us)
+renew_echoed_us(const struct broker *b, uint64_t heard_us)
 {
     /* Not of this clock where it lies ahead. */
     return heard_us <= (uint64_t)b->now.mono_us ? (int64_t)heard_us : 0;
 }
 
 int64_t
-renew_job_us(const struct broker *b, const struct run_job *job)
+renew_confirmed_us(const struct broker *b, const struct run_job *job)
 {
     bool here = !job->closed && name_equal(job->taker, b->opts.self);
 
@@ -161,9 +162,9 @@
 }
 
 void
-renew_end(const struct broker *b, struct run_job *job)
+renew_end_interest(const struct broker *b, struct run_job *job)
 {
-    job->renewed_us = renew_job_us(b, job);
+    job->renewed_us = renew_confirmed_us(b, job);
     job->closed = true;
     job->closed_us = b->now.mono_us;
 }
@@ -171,11 +172,11 @@
 static int64_t
 job_limit_us(const struct broker *b, const struct run_job *job)
 {
-    return renew_job_us(b, job) + b->job_lease_us;
+    return renew_confirmed_us(b, job) + b->job_lease_us;
 }
 
 int64_t
-renew_limit_us(struct broker *b, const struct broker_upstream *u)
+renew_upstream_limit_us(struct broker *b, const struct broker_upstream *u)
 {
     int64_t limit_us = INT64_MAX;
 
@@ -195,11 +196,11 @@
 }
 
 bool
-renew_allows(struct broker *b, const struct run_job *job,
-             const struct broker_upstream *u)
+renew_allows_start(struct broker *b, const struct run_job *job,
+                   const struct broker_upstream *u)
 {
     return u->granted_until_us <= job_limit_us(b, job) &&
-           leaves_time(b, renew_limit_us(b, u));
+           leaves_time(b, renew_upstream_limit_us(b, u));
 }
 
 static bool
@@ -217,7 +218,7 @@
 renew_on_renewal(struct broker *b, struct name from,
                  const struct rec_job_renewal *r)
 {
-    int64_t heard_us = renew_heard(b, r->heard_us);
+    int64_t heard_us = renew_echoed_us(b, r->heard_us);
     struct run_job *job;
     struct handle h;
     uint32_t at = 0;
@@ -245,7 +246,7 @@
 }
 
 bool
-renew_ready(struct broker *b, const struct run_job *job)
+renew_job_can_start(struct broker *b, const struct run_job *job)
 {
     int64_t limit_us = job_limit_us(b, job);
 
@@ -262,7 +263,8 @@
 {
     int64_t since_us = b->now.mono_us - b->job_lease_us;
 
-    return renew_job_us(b, job) <= since_us && job->accepted_us <= since_us;
+    return renew_confirmed_us(b, job) <= since_us &&
+           job->accepted_us <= since_us;
 }
 
 void
@@ -274,7 +276,8 @@
 
     answer_asks(b);
     while ((job = table_next(&b->run_jobs, &at, &h)) != NULL) {
-        if (job->closed || b->now.mono_us - renew_job_us(b, job) < ASK_US) {
+        if (job->closed ||
+            b->now.mono_us - renew_confirmed_us(b, job) < ASK_US) {
             continue;
         }
         if (is_unconfirmed(b, job)) {
--- a/src/broker_run.c
+++ b/src/broker_run.c
@@ -147,7 +147,7 @@
     if (job->closed) {
         return;
     }
-    renew_end(b, job);
+    renew_end_interest(b, job);
     order_remove(job);
     tell(b, job->taker, job->number, outcome, reason, retry_us);
     broker_log(
@@ -174,7 +174,7 @@
     if (job->closed) {
         return;
     }
-    renew_end(b, job);
+    renew_end_interest(b, job);
     order_remove(job);
     broker_log(b, LOG_INFO, reason, job->id, -1, job->taker,
                "%u of %u tasks left, %u at upstreams", job->n_unfinished,
@@ -270,7 +270,7 @@
 
     *retry_us = 0;
     *outcome = JOB_RETURNED_OUTCOME;
-    if (b->stopping && !linger_takes(b, job)) {
+    if (b->stopping && !shutdown_accepts_job(b, job)) {
         return BROKER_STOPPING;
     }
     if (!fits_here(b, job)) {
@@ -334,7 +334,7 @@
     earlier->taker = from;
     earlier->number = o->number;
     earlier->accepted_us = b->now.mono_us;
-    earlier->renewed_us = renew_heard(b, o->heard_us);
+    earlier->renewed_us = renew_echoed_us(b, o->heard_us);
     earlier->deadline_us = b->now.mono_us + (int64_t)o->deadline_us;
     return true;
 }
@@ -355,7 +355,7 @@
     job->attempts = o->attempts > 0 ? (uint32_t)o->attempts : 1;
     job->arrived_us = b->now.mono_us - (int64_t)o->age_us;
     job->accepted_us = b->now.mono_us;
-    job->renewed_us = renew_heard(b, o->heard_us);
+    job->renewed_us = renew_echoed_us(b, o->heard_us);
     job->spec = blob_ref(o->spec);
     job->groups = calloc(o->n_groups + 1, sizeof(*job->groups));
     if (job->groups == NULL) {
@@ -381,7 +381,7 @@
     }
     job = new_job(b, from, o);
     if (make_tasks(job)) {
-        order_plan(b, job, o);
+        order_set_times(b, job, o);
         unblock(job);
         reason = judge(b, job, &retry_us, &outcome);
     }
@@ -489,7 +489,7 @@
     if (!job->started) {
         histogram_add(&b->histograms.queue, b->now.mono_us - job->arrived_us);
         if (job->late) {
-            order_late_started(b, job);
+            order_on_late_start(b, job);
         }
     }
     job->started = true;
@@ -508,7 +508,7 @@
     struct broker_upstream *u = table_get(&b->upstreams, t->upstream);
 
     if (u != NULL) {
-        lease_unplace(b, u, job, t);
+        lease_remove_task(b, u, job, t);
     }
     t->upstream = (struct handle){0};
     job->n_placed--;
@@ -563,7 +563,7 @@
         return;
     }
     if (u != NULL && t->failures == 0) {
-        trust_failed(b, u);
+        broker_health_task_failed(b, u);
     }
     if (u != NULL) {
         t->avoid_upstream = u->name;
@@ -620,11 +620,11 @@
         struct run_job *next = TAILQ_NEXT(job, link);
         int64_t retry_us;
 
-        if (order_hopeless(b, job, &retry_us)) {
+        if (order_starts_too_late(b, job, &retry_us)) {
             end_job(b, job, JOB_REFUSED_OUTCOME, BROKER_TOO_LATE, retry_us);
         }
         else {
-            order_overdue(b, job);
+            order_demote_if_late(b, job);
         }
         job = next;
     }
@@ -634,10 +634,10 @@
 static bool
 serve_queued(struct broker *b, struct run_job *job)
 {
-    if (!renew_ready(b, job)) {
+    if (!renew_job_can_start(b, job)) {
         return true;
     }
-    if (job->late && !job->started && !order_spare(b, job)) {
+    if (job->late && !job->started && !order_late_can_start(b, job)) {
         return false;
     }
     if (place_job(b, job)) {
--- a/src/broker_runtime.c
+++ b/src/broker_runtime.c
@@ -89,7 +89,7 @@
 {
     struct httpapi_response response = {0};
 
-    r->opts.callers->answer(a, &response);
+    r->opts.codec->encode_answer(a, &response);
     response.retry_after_us = a->retry_after_us;
     httpapi_reply(r->callers, a->request, &response);
 }
@@ -104,7 +104,7 @@
         answer_caller(r, &f->u.answer);
         break;
     case BE_CALL:
-        leaseclient_begin(r->upstreams, &f->u.call);
+        leaseclient_send(r->upstreams, &f->u.call);
         break;
     case BE_SEND:
         peer_send(r->peers, f->u.send.to, &f->u.send.msg);
@@ -201,7 +201,7 @@
 on_caller(void *ctx, const struct httpapi_request *request)
 {
     struct broker_runtime *r = ctx;
-    struct caller_request c = {.kind = CALLER_REPLY};
+    struct caller_request c = {.kind = CALLER_REPLY_NOW};
     struct broker_event ev = {.kind = BEV_CANCEL};
 
     /* The reducer is done and nothing would come back from other processes:
@@ -217,7 +217,7 @@
         keep_early(r, request->number);
         return;
     }
-    r->opts.callers->decode(request, broker_queues(r->broker), &c);
+    r->opts.codec->decode(request, broker_queues(r->broker), &c);
     switch (c.kind) {
     case CALLER_SUBMIT:
         submit(r, &c, request->number);
@@ -227,9 +227,9 @@
         ev.u.cancel.request = request->number;
         step(r, &ev);
         break;
-    case CALLER_COUNT:
-        r->opts.callers->count(broker_pending_jobs(r->broker, c.queue->name),
-                               &c.response);
+    case CALLER_COUNT_WAITING:
+        r->opts.codec->encode_count(
+            broker_pending_jobs(r->broker, c.queue->name), &c.response);
         httpapi_reply(r->callers, request->number, &c.response);
         break;
     case CALLER_NO_QUEUE:
@@ -256,7 +256,7 @@
     struct broker_runtime *r = ctx;
     struct httpapi_response response = {.status = 404};
 
-    if (strcmp(request->path, r->opts.callers->ready_path) == 0) {
+    if (strcmp(request->path, r->opts.codec->ready_path) == 0) {
         response.status = r->healthy ? 200 : 503;
     }
     httpapi_reply(r->ready, request->number, &response);
@@ -567,7 +567,7 @@
 {
     const struct broker_runtime_options *o = &r->opts;
 
-    r->callers = serve(r, o->listen_callers.s, o->connections, on_caller,
+    r->callers = serve(r, o->listen_callers.s, o->connections_max, on_caller,
                        on_caller_gone);
     if (r->callers == NULL) {
         return false;
@@ -596,7 +596,7 @@
     struct peer_options peers = r->opts.peers;
 
     upstreams.clock = r->opts.clock;
-    upstreams.done = on_called;
+    upstreams.on_outcome = on_called;
     upstreams.ctx = r;
     r->upstreams = leaseclient_new(&upstreams);
     if (r->upstreams == NULL ||
@@ -644,8 +644,8 @@
 }
 
 void
-broker_runtime_registry(struct broker_runtime *r, struct name name,
-                        struct address address)
+broker_runtime_add_registry(struct broker_runtime *r, struct name name,
+                            struct address address)
 {
     struct broker_mail *m = new_mail(MAIL_REGISTRY, name);
 
--- a/src/broker_runtime.h
+++ b/src/broker_runtime.h
@@ -14,12 +14,12 @@
 #include "leaseclient.h"
 #include "peer.h"
 
-/** enum caller_call - what a caller's request asks for */
-enum caller_call {
+/** enum caller_request_kind - what a caller's request asks for */
+enum caller_request_kind {
     CALLER_SUBMIT,
     CALLER_CANCEL,
-    CALLER_COUNT,    /* how many jobs of a queue wait */
-    CALLER_REPLY,    /* nothing: the answer stands already */
+    CALLER_COUNT_WAITING, /* how many jobs of a queue wait */
+    CALLER_REPLY_NOW,     /* nothing: the answer stands already */
     CALLER_NO_QUEUE, /* likewise: no queue of the configuration is meant */
 };
 
@@ -29,10 +29,10 @@
  * @submit: its spec and groups are owned; the request number is filled in
  * @cancel: likewise
  * @queue: whose jobs are counted; of the configuration
- * @response: of CALLER_REPLY and CALLER_NO_QUEUE
+ * @response: of CALLER_REPLY_NOW and CALLER_NO_QUEUE
  */
 struct caller_request {
-    enum caller_call kind;
+    enum caller_request_kind kind;
     struct bev_submit submit;
     struct bev_cancel cancel;
     const struct queue_conf *queue;
@@ -42,15 +42,16 @@
 /**
  * struct caller_codec - how callers' requests and answers look
  * @decode: a request; @queues is NULL before there is a configuration
- * @answer: what becomes of a job, or of a cancel
- * @count: how many jobs wait
+ * @encode_answer: what becomes of a job, or of a cancel
+ * @encode_count: how many jobs wait
  * @ready_path: of the platform's question whether to send callers here
  */
 struct caller_codec {
     void (*decode)(const struct httpapi_request *r,
                    const struct queueconf *queues, struct caller_request *out);
-    void (*answer)(const struct be_answer *a, struct httpapi_response *out);
-    void (*count)(uint32_t waiting, struct httpapi_response *out);
+    void (*encode_answer)(const struct be_answer *a,
+                          struct httpapi_response *out);
+    void (*encode_count)(uint32_t waiting, struct httpapi_response *out);
     const char *ready_path;
 };
 
@@ -59,11 +60,11 @@
  * @broker: of the reducer
  * @peers: of the connections; its callbacks are filled in
  * @upstreams: of the calls; its callbacks are filled in
- * @callers: how they speak
+ * @codec: how they speak
  * @listen_callers: IP:PORT
  * @listen_ready: IP:PORT where readiness is asked for; empty for none
  * @listen_metrics: IP:PORT; empty for none
- * @connections: of callers at a time
+ * @connections_max: of callers at a time
  * @idle_timeout_s: of their silent connections
  * @body_max: bytes of a job
  * @clock: for all of them
@@ -72,11 +73,11 @@
     struct broker_options broker;
     struct peer_options peers;
     struct leaseclient_options upstreams;
-    const struct caller_codec *callers;
+    const struct caller_codec *codec;
     struct address listen_callers;
     struct address listen_ready;
     struct address listen_metrics;
-    unsigned int connections;
+    unsigned int connections_max;
     unsigned int idle_timeout_s;
     size_t body_max;
     const struct clock *clock;
@@ -88,9 +89,9 @@
 struct broker_runtime *
 broker_runtime_new(const struct broker_runtime_options *o);
 
-/** broker_runtime_registry() - one more registry to connect to */
-void broker_runtime_registry(struct broker_runtime *r, struct name name,
-                             struct address address);
+/** broker_runtime_add_registry() - one more registry to connect to */
+void broker_runtime_add_registry(struct broker_runtime *r, struct name name,
+                                 struct address address);
 
 /** broker_runtime_stop() - begins a planned stop */
 void broker_runtime_stop(struct broker_runtime *r);
--- a/src/broker_state.h
+++ b/src/broker_state.h
@@ -233,14 +233,14 @@
 
 /**
  * struct queue_stats - what is learned of a queue
- * @learned: its run times
+ * @run_estimate: its run times
  * @demand: work handed in lately, in milli-cores that it would keep busy
  * @credit: of its share, work that may be let in, in milli-core microseconds
  */
 struct queue_stats {
     struct name queue;
     uint32_t priority;
-    struct learned learned;
+    struct run_estimate run_estimate;
     double demand;
     double credit;
 };
@@ -385,7 +385,7 @@
     struct broker_peer *peers;
     struct broker_peer *self;
     uint64_t view; /* rises with each change of who may hold upstreams */
-    struct holder_ref *holders; /* as peers_rank() found */
+    struct holder_ref *holders; /* as peers_update_holders() found */
     size_t n_holders;
     size_t holders_capacity;
     int64_t next_load_us;
@@ -451,15 +451,15 @@
 
 /** peers_find() - the process of that name, or NULL */
 struct broker_peer *peers_find(const struct broker *b, struct name name);
-void peers_on_peer(struct broker *b, struct name name, bool up);
+void peers_on_connection(struct broker *b, struct name name, bool up);
 void peers_on_introduction(struct broker *b, struct name from,
                            const struct rec_introduction *i);
 void peers_on_roster(struct broker *b, const struct rec_roster *r);
 void peers_on_load(struct broker *b, struct name from,
                    const struct rec_broker_load *l);
 
-/** peers_stopping() - says at once that this broker is stopping */
-void peers_stopping(struct broker *b);
+/** peers_announce_stop() - says at once that this broker is stopping */
+void peers_announce_stop(struct broker *b);
 void peers_tick(struct broker *b);
 int64_t peers_next_us(const struct broker *b);
 
@@ -475,22 +475,24 @@
 
 /* broker_peer.c, again */
 
-/** peers_rank() - works out anew which brokers hold upstreams */
-void peers_rank(struct broker *b);
+/** peers_update_holders() - works out anew which brokers hold upstreams */
+void peers_update_holders(struct broker *b);
 
-/** peers_successor() - whether another broker of this zone may hold upstreams
+/** peers_have_successor() - whether another broker of this zone may hold
+ * upstreams
  */
-bool peers_successor(const struct broker *b);
+bool peers_have_successor(const struct broker *b);
 
-/** peers_runs_jobs() - whether jobs may be offered to that process */
-bool peers_runs_jobs(const struct broker_peer *p);
+/** peers_can_run_jobs() - whether jobs may be offered to that process */
+bool peers_can_run_jobs(const struct broker_peer *p);
 
-/** peers_zone_is_here() - whether a registry told who is there, and all
+/** peers_zone_connected() - whether a registry told who is there, and all
  * brokers of this zone that any told of are connected */
-bool peers_zone_is_here(const struct broker *b);
+bool peers_zone_connected(const struct broker *b);
 
-/** peers_send_zone() - copies to the other brokers of this zone; frees @m */
-void peers_send_zone(struct broker *b, struct msg *m);
+/** peers_send_to_zone() - copies to the other brokers of this zone; frees @m
+ */
+void peers_send_to_zone(struct broker *b, struct msg *m);
 
 /* broker_caller.c */
 void caller_on_submit(struct broker *b, const struct bev_submit *s);
@@ -558,18 +560,19 @@
  * upstreams' leases within that */
 void renew_init(struct broker *b);
 
-/** renew_asked() - a broker that may run jobs of callers here asks which of
- * them are still waited for; it reads its own clock as @sent_us.  A @check is
- * always answered, loads where it is time. */
-void renew_asked(struct broker *b, struct name from, uint64_t sent_us,
-                 bool check);
+/** renew_on_request() - a broker that may run jobs of callers here asks which
+ * of them are still waited for; it reads its own clock as @sent_us.  A @check
+ * is always answered, loads where it is time. */
+void renew_on_request(struct broker *b, struct name from, uint64_t sent_us,
+                      bool check);
 
-/** renew_sure_us() - the newest time of that broker's clock as of which all
- * callers here that have left are known */
-uint64_t renew_sure_us(const struct broker *b, const struct broker_peer *p);
+/** renew_confirmable_us() - the newest time of that broker's clock as of which
+ * all callers here that have left are known */
+uint64_t renew_confirmable_us(const struct broker *b,
+                              const struct broker_peer *p);
 
-/** renew_forget() - the connection to that broker is gone */
-void renew_forget(struct broker_peer *p);
+/** renew_reset_peer() - the connection to that broker is gone */
+void renew_reset_peer(struct broker_peer *p);
 
 /** renew_next_us() - now where somebody waits for a renewal, else INT64_MAX */
 int64_t renew_next_us(const struct broker *b);
@@ -578,27 +581,28 @@
 void renew_on_renewal(struct broker *b, struct name from,
                       const struct rec_job_renewal *r);
 
-/** renew_heard() - the time that a taker returned, on this clock */
-int64_t renew_heard(const struct broker *b, uint64_t heard_us);
+/** renew_echoed_us() - the time that a taker returned, on this clock */
+int64_t renew_echoed_us(const struct broker *b, uint64_t heard_us);
 
-/** renew_job_us() - until when the job was known to be waited for */
-int64_t renew_job_us(const struct broker *b, const struct run_job *job);
+/** renew_confirmed_us() - until when the job was known to be waited for */
+int64_t renew_confirmed_us(const struct broker *b, const struct run_job *job);
 
-/** renew_end() - nobody waits for the job from now on */
-void renew_end(const struct broker *b, struct run_job *job);
+/** renew_end_interest() - nobody waits for the job from now on */
+void renew_end_interest(const struct broker *b, struct run_job *job);
 
-/** renew_limit_us() - when all that runs there has to be over, by the jobs
- * that have tasks there */
-int64_t renew_limit_us(struct broker *b, const struct broker_upstream *u);
+/** renew_upstream_limit_us() - when all that runs there has to be over, by the
+ * jobs that have tasks there */
+int64_t renew_upstream_limit_us(struct broker *b,
+                                const struct broker_upstream *u);
 
-/** renew_allows() - whether a task of the job may start there: the lease that
- * the upstream has already ends in time for it */
-bool renew_allows(struct broker *b, const struct run_job *job,
-                  const struct broker_upstream *u);
+/** renew_allows_start() - whether a task of the job may start there: the lease
+ * that the upstream has already ends in time for it */
+bool renew_allows_start(struct broker *b, const struct run_job *job,
+                        const struct broker_upstream *u);
 
-/** renew_ready() - whether any task of the job may start.  Its taker is asked
- * where it was not heard lately, so that one may on any upstream. */
-bool renew_ready(struct broker *b, const struct run_job *job);
+/** renew_job_can_start() - whether any task of the job may start.  Its taker
+ * is asked where it was not heard lately, so that one may on any upstream. */
+bool renew_job_can_start(struct broker *b, const struct run_job *job);
 
 /** renew_tick() - answers brokers that asked, asks takers that were not heard
  * lately, and gives up jobs that nobody has confirmed for a lease */
@@ -606,9 +610,9 @@
 
 /* broker_order.c */
 
-/** order_plan() - sets objective, latest start and place of a new job */
-void order_plan(struct broker *b, struct run_job *job,
-                const struct rec_job_offer *o);
+/** order_set_times() - sets objective, latest start and place of a new job */
+void order_set_times(struct broker *b, struct run_job *job,
+                     const struct rec_job_offer *o);
 
 /** order_admit() - BROKER_NONE, or why the job is refused; *@retry_us is when
  * it would have a chance */
@@ -619,33 +623,34 @@
 void order_insert(struct run_job *job);
 void order_remove(struct run_job *job);
 
-/** order_hopeless() - a waiting job that will not start while its answer is of
- * use; *@retry_us is when it would have a chance */
-bool order_hopeless(struct broker *b, const struct run_job *job,
-                    int64_t *retry_us);
+/** order_starts_too_late() - a waiting job that will not start while its
+ * answer is of use; *@retry_us is when it would have a chance */
+bool order_starts_too_late(struct broker *b, const struct run_job *job,
+                           int64_t *retry_us);
 
-/** order_late_started() - a late job's first start is sent */
-void order_late_started(struct broker *b, struct run_job *job);
+/** order_on_late_start() - a late job's first start is sent */
+void order_on_late_start(struct broker *b, struct run_job *job);
 
-/** order_overdue() - moves a waiting job that can't be in time any more behind
- * those that can */
-void order_overdue(struct broker *b, struct run_job *job);
+/** order_demote_if_late() - moves a waiting job that can't be in time any more
+ * behind those that can */
+void order_demote_if_late(struct broker *b, struct run_job *job);
 
-/** order_spare() - whether a late job may take room now */
-bool order_spare(struct broker *b, const struct run_job *job);
+/** order_late_can_start() - whether a late job may take room now */
+bool order_late_can_start(struct broker *b, const struct run_job *job);
 
-/** order_load() - room, and what waits for it */
-struct rec_service_load order_load(struct broker *b,
-                                   const struct broker_service *s);
+/** order_service_load() - room, and what waits for it */
+struct rec_service_load order_service_load(struct broker *b,
+                                           const struct broker_service *s);
 
 /** order_expected_us() - run time of a task of that group, on an upstream of
  * usual speed where its data is */
 int64_t order_expected_us(const struct run_job *job,
                           const struct rec_task_group *g);
 
-/** order_learn() - a task ran for so long on an upstream of usual speed */
-void order_learn(struct run_job *job, const struct rec_task_group *g,
-                 int64_t ran_us);
+/** order_record_run() - a task ran for so long on an upstream of usual speed
+ */
+void order_record_run(struct run_job *job, const struct rec_task_group *g,
+                      int64_t ran_us);
 
 /* broker_share.c: @able are milli-cores that all queues share */
 
@@ -698,93 +703,98 @@
                           const struct broker_upstream *u);
 
 /* broker_hold.c */
-void hold_on_report(struct broker *b, const struct rec_upstream_report *r);
-/** hold_flush() - tells the zone what was taken and let go in this step */
-void hold_flush(struct broker *b);
-void hold_on_holds(struct broker *b, struct name from,
-                   const struct rec_upstream_holds *h);
+void hold_on_upstream_report(struct broker *b,
+                             const struct rec_upstream_report *r);
+/** hold_notify_zone() - tells the zone what was taken and let go in this step
+ */
+void hold_notify_zone(struct broker *b);
+void hold_on_peer_holds(struct broker *b, struct name from,
+                        const struct rec_upstream_holds *h);
 
-/** hold_review() - takes and gives away upstreams as the view says */
-void hold_review(struct broker *b);
+/** hold_reassign() - takes and gives away upstreams as the view says */
+void hold_reassign(struct broker *b);
 
 /** hold_broker_lost() - a broker holds nothing any more */
 void hold_broker_lost(struct broker *b, struct name name);
 
-/** hold_tell() - tells a broker of the zone what is held here */
-void hold_tell(struct broker *b, struct name to);
+/** hold_send_held() - tells a broker of the zone what is held here */
+void hold_send_held(struct broker *b, struct name to);
 
-/** hold_paused() - this process stood still: nothing is held any more */
-void hold_paused(struct broker *b);
-bool hold_any(const struct broker *b);
+/** hold_on_pause() - this process stood still: nothing is held any more */
+void hold_on_pause(struct broker *b);
+bool hold_has_any(const struct broker *b);
 void hold_tick(struct broker *b);
 int64_t hold_next_us(const struct broker *b);
 
-/** hold_fenced() - another broker has a higher fence */
-void hold_fenced(struct broker *b, struct broker_upstream *u);
+/** hold_on_fenced() - another broker has a higher fence */
+void hold_on_fenced(struct broker *b, struct broker_upstream *u);
 
-/** hold_reborn() - the upstream has another life */
-void hold_reborn(struct broker *b, struct broker_upstream *u,
-                 uint64_t born_ms);
+/** hold_on_restart() - the upstream has another life */
+void hold_on_restart(struct broker *b, struct broker_upstream *u,
+                     uint64_t born_ms);
 
-/** hold_answered() - a look was answered: it is there, and nothing that we
- * did not start runs there where @strangers is false */
-void hold_answered(struct broker *b, struct broker_upstream *u,
-                   bool strangers);
+/** hold_on_poll_answer() - a look was answered: it is there, and nothing that
+ * we did not start runs there where @strangers is false */
+void hold_on_poll_answer(struct broker *b, struct broker_upstream *u,
+                         bool strangers);
 
-/** hold_missed() - a look was not answered */
-void hold_missed(struct broker *b, struct broker_upstream *u);
+/** hold_on_poll_failure() - a look was not answered */
+void hold_on_poll_failure(struct broker *b, struct broker_upstream *u);
 
 /* broker_lease.c */
 /* For what the lease's time does not cover: delays on the way, coarse clocks.
  */
-#define LAPSE_SLACK_US (50 * USEC_PER_MSEC)
+#define EXPIRY_SLACK_US (50 * USEC_PER_MSEC)
 
 void lease_start(struct broker *b, struct broker_upstream *u,
                  struct run_job *job, struct run_task *t);
 void lease_stop(struct broker *b, struct broker_upstream *u,
                 struct run_job *job, struct run_task *t);
-void lease_look(struct broker *b, struct broker_upstream *u);
+void lease_poll(struct broker *b, struct broker_upstream *u);
 
-/** lease_ref() - how a run is named to an upstream */
-struct task_ref lease_ref(const struct run_job *job, const struct run_task *t);
+/** lease_task_ref() - how a run is named to an upstream */
+struct task_ref lease_task_ref(const struct run_job *job,
+                               const struct run_task *t);
 
 /** lease_send_stop() - of a run that may not be ours; @job and @number are
  * the task that waits for it, or nothing */
 void lease_send_stop(struct broker *b, struct broker_upstream *u,
                      struct task_ref task, struct handle job, uint32_t number);
 
-/** lease_peek() - looks without waiting, though another look waits */
-void lease_peek(struct broker *b, struct broker_upstream *u);
+/** lease_quick_poll() - looks without waiting, though another look waits */
+void lease_quick_poll(struct broker *b, struct broker_upstream *u);
 
-/** lease_unplace() - a task is no longer at its upstream */
-void lease_unplace(struct broker *b, struct broker_upstream *u,
-                   const struct run_job *job, const struct run_task *t);
+/** lease_remove_task() - a task is no longer at its upstream */
+void lease_remove_task(struct broker *b, struct broker_upstream *u,
+                       const struct run_job *job, const struct run_task *t);
 
 /* broker_answer.c */
 void answer_on_call_end(struct broker *b, const struct bev_called *c);
 
 /* broker_linger.c */
 
-/** linger_begin() - a planned stop has begun */
-void linger_begin(struct broker *b);
+/** shutdown_begin() - a planned stop has begun */
+void shutdown_begin(struct broker *b);
 
-/** linger_tick() - ends it when its time has come */
-void linger_tick(struct broker *b);
+/** shutdown_tick() - ends it when its time has come */
+void shutdown_tick(struct broker *b);
 
-/** linger_next_us() - when linger_tick() is due; INT64_MAX for never */
-int64_t linger_next_us(const struct broker *b);
+/** shutdown_next_us() - when shutdown_tick() is due; INT64_MAX for never */
+int64_t shutdown_next_us(const struct broker *b);
 
-/** linger_takes() - whether a job is sure to end before the stop does */
-bool linger_takes(const struct broker *b, const struct run_job *job);
+/** shutdown_accepts_job() - whether a job is sure to end before the stop does
+ */
+bool shutdown_accepts_job(const struct broker *b, const struct run_job *job);
 
 /* broker_trust.c */
-/** trust_ok() - a task ended well; @sample is how slow the upstream was with
- * it, and counts by @weight, 0 to 1 */
-void trust_ok(struct broker *b, struct broker_upstream *u, double sample,
-              double weight);
-void trust_failed(struct broker *b, struct broker_upstream *u);
-
-/** trust_allows() - whether the upstream may be given a task now */
-bool trust_allows(const struct broker *b, const struct broker_upstream *u);
+/** broker_health_task_done() - a task ended well; @sample is how slow the
+ * upstream was with it, and counts by @weight, 0 to 1 */
+void broker_health_task_done(struct broker *b, struct broker_upstream *u,
+                             double sample, double weight);
+void broker_health_task_failed(struct broker *b, struct broker_upstream *u);
+
+/** broker_health_allows() - whether the upstream may be given a task now */
+bool broker_health_allows(const struct broker *b,
+                          const struct broker_upstream *u);
 
 #endif
--- a/src/broker_trust.c
+++ b/src/broker_trust.c
@@ -35,8 +35,8 @@
 }
 
 void
-trust_ok(struct broker *b, struct broker_upstream *u, double sample,
-         double weight)
+broker_health_task_done(struct broker *b, struct broker_upstream *u,
+                        double sample, double weight)
 {
     u->failures = 0;
     if (u->quarantine_until_us > 0) {
@@ -53,7 +53,7 @@
 }
 
 void
-trust_failed(struct broker *b, struct broker_upstream *u)
+broker_health_task_failed(struct broker *b, struct broker_upstream *u)
 {
     u->failures++;
     if (u->failures < FAILURES_MAX ||
@@ -73,7 +73,7 @@
 }
 
 bool
-trust_allows(const struct broker *b, const struct broker_upstream *u)
+broker_health_allows(const struct broker *b, const struct broker_upstream *u)
 {
     if (u->quarantine_until_us == 0) {
         return true;
--- a/src/control_runtime.c
+++ b/src/control_runtime.c
@@ -106,7 +106,7 @@
         if (f->kind == CE_MEMBERS) {
             struct rec_membership m = f->u.members.msg.u.membership;
 
-            registry_members(r->registry, &m, &r->effects);
+            registry_set_members(r->registry, &m, &r->effects);
         }
     }
 }
@@ -238,12 +238,12 @@
         return true;
     }
     if (m->kind == CONTROL_MAIL_PEER) {
-        registry_peer(r->registry, m->peer, m->peer_up, now);
+        registry_on_connection(r->registry, m->peer, m->peer_up, now);
         return true;
     }
     if (m->event.kind == CEV_MESSAGE &&
-        registry_message(r->registry, m->event.u.message.from, m->msg, now,
-                         &r->effects)) {
+        registry_on_message(r->registry, m->event.u.message.from, m->msg, now,
+                            &r->effects)) {
         carry_out_all(r);
         return true;
     }
@@ -572,7 +572,7 @@
     if (r->registry == NULL || found->upstreams.kind != MSG_UPSTREAM_REPORT) {
         return;
     }
-    registry_recall(r->registry, kept, clock_now(r->opts.clock));
+    registry_restore(r->registry, kept, clock_now(r->opts.clock));
     log_event(LOG_NOTICE, "upstreams-recalled", r->opts.data, "%zu",
               kept->n_upstreams);
 }
--- a/src/dispatch.c
+++ b/src/dispatch.c
@@ -190,7 +190,7 @@
 static void
 rank(struct entry *e, struct service_state *s, struct queued *q)
 {
-    int64_t work_us = learn_sum_us(&s->learned, q->n, q->declared_us);
+    int64_t work_us = estimate_sum_us(&s->run_estimate, q->n, q->declared_us);
 
     q->rank_us = queue_rank_us(s->order, q, work_us / admit_capacity(e, s));
 }
@@ -248,8 +248,8 @@
     q->service = s;
     q->submitted_us = job->submitted_us;
     q->limit_us = job->deadline_us - job->submitted_us;
-    q->class =
-        admit_class(learn_sum_us(&s->learned, job->n_tasks, declared_us));
+    q->class = admit_class(
+        estimate_sum_us(&s->run_estimate, job->n_tasks, declared_us));
     job->queue_place = q;
     s->jobs++;
     (void)e;
--- a/src/dispatch_state.h
+++ b/src/dispatch_state.h
@@ -41,7 +41,7 @@
  * @quota: of the service itself; NULL without a limit
  * @team: quota of its team; NULL without a limit
  * @queue: jobs with queued tasks
- * @learned: run times
+ * @run_estimate: run times
  * @pool: where tasks may be started
  * @borrowing: of borrow.c
  * @upstreams: whose record points here
@@ -60,7 +60,7 @@
     struct quota *quota;
     struct quota *team;
     struct queue queue;
-    struct learned learned;
+    struct run_estimate run_estimate;
     struct pool pool;
     struct borrowing *borrowing;
     uint32_t upstreams;
--- a/src/learn.c
+++ b/src/learn.c
@@ -28,7 +28,7 @@
 }
 
 static bool
-declared_helps(const struct learned *l)
+declared_helps(const struct run_estimate *l)
 {
     return l->ratio_error < l->mean_error;
 }
@@ -49,7 +49,7 @@
 }
 
 void
-learn_sample(struct learned *l, int64_t declared_us, int64_t ran_us)
+estimate_add_run(struct run_estimate *l, int64_t declared_us, int64_t ran_us)
 {
     double ran = positive(ran_us);
     double declared = positive(declared_us);
@@ -59,15 +59,15 @@
     if (l->samples == 0) {
         l->mean_us = ran;
         l->ratio = ran / declared;
-        l->tail = TAIL_START;
-        l->extreme = TAIL_START;
+        l->p95_factor = TAIL_START;
+        l->p99_factor = TAIL_START;
     }
     l->samples++;
     weight = 1.0 / (double)l->samples;
     weight = weight > SLOWEST ? weight : SLOWEST;
-    over = ran / positive(learn_expected_us(l, declared_us));
-    learn_quantile(&l->tail, TAIL_SHARE, over);
-    learn_quantile(&l->extreme, EXTREME, over);
+    over = ran / positive(estimate_mean_us(l, declared_us));
+    learn_quantile(&l->p95_factor, TAIL_SHARE, over);
+    learn_quantile(&l->p99_factor, EXTREME, over);
     blend(&l->mean_error, fabs(log(ran / l->mean_us)), weight);
     blend(&l->ratio_error, fabs(log(ran / (l->ratio * declared))), weight);
     blend(&l->mean_us, ran, weight);
@@ -75,7 +75,7 @@
 }
 
 int64_t
-learn_sum_us(const struct learned *l, uint32_t n, int64_t declared_us)
+estimate_sum_us(const struct run_estimate *l, uint32_t n, int64_t declared_us)
 {
     if (l->samples < SAMPLES_ENOUGH) {
         return declared_us;
@@ -87,24 +87,25 @@
 }
 
 int64_t
-learn_expected_us(const struct learned *l, int64_t declared_us)
+estimate_mean_us(const struct run_estimate *l, int64_t declared_us)
 {
-    return learn_sum_us(l, 1, declared_us);
+    return estimate_sum_us(l, 1, declared_us);
 }
 
 int64_t
-learn_tail_us(const struct learned *l, int64_t declared_us)
+estimate_p95_us(const struct run_estimate *l, int64_t declared_us)
 {
-    double tail = l->samples < SAMPLES_ENOUGH ? TAIL_START : l->tail;
+    double tail = l->samples < SAMPLES_ENOUGH ? TAIL_START : l->p95_factor;
 
-    return (int64_t)(tail * (double)learn_expected_us(l, declared_us));
+    return (int64_t)(tail * (double)estimate_mean_us(l, declared_us));
 }
 
 int64_t
-learn_longest_us(const struct learned *l, uint32_t n, int64_t declared_us)
+estimate_longest_us(const struct run_estimate *l, uint32_t n,
+                    int64_t declared_us)
 {
     if (n < MANY || l->samples < SAMPLES_ENOUGH) {
-        return learn_tail_us(l, declared_us);
+        return estimate_p95_us(l, declared_us);
     }
-    return (int64_t)(l->extreme * (double)learn_expected_us(l, declared_us));
+    return (int64_t)(l->p99_factor * (double)estimate_mean_us(l, declared_us));
 }
--- a/src/learn.h
+++ b/src/learn.h
@@ -17,34 +17,37 @@
  * @ratio: run time over declared, moving mean
  * @mean_error: moving mean of |log(run / mean_us)|
  * @ratio_error: the same for @ratio times declared
- * @tail: 95th percentile of the run time over the expected one
- * @extreme: 99th percentile of the same
+ * @p95_factor: 95th percentile of the run time over the expected one
+ * @p99_factor: 99th percentile of the same
  */
-struct learned {
+struct run_estimate {
     uint32_t samples;
     double mean_us;
     double ratio;
     double mean_error;
     double ratio_error;
-    double tail;
-    double extreme;
+    double p95_factor;
+    double p99_factor;
 };
 
-/** learn_sample() - a task declared to take @declared_us ran for @ran_us */
-void learn_sample(struct learned *l, int64_t declared_us, int64_t ran_us);
+/** estimate_add_run() - a task declared to take @declared_us ran for @ran_us
+ */
+void estimate_add_run(struct run_estimate *l, int64_t declared_us,
+                      int64_t ran_us);
 
-/** learn_expected_us() - how long such a task will run, in the mean */
-int64_t learn_expected_us(const struct learned *l, int64_t declared_us);
+/** estimate_mean_us() - how long such a task will run, in the mean */
+int64_t estimate_mean_us(const struct run_estimate *l, int64_t declared_us);
 
-/** learn_sum_us() - of @n tasks declared to take @declared_us together */
-int64_t learn_sum_us(const struct learned *l, uint32_t n, int64_t declared_us);
+/** estimate_sum_us() - of @n tasks declared to take @declared_us together */
+int64_t estimate_sum_us(const struct run_estimate *l, uint32_t n,
+                        int64_t declared_us);
 
-/** learn_tail_us() - 19 of 20 such tasks end within this */
-int64_t learn_tail_us(const struct learned *l, int64_t declared_us);
+/** estimate_p95_us() - 19 of 20 such tasks end within this */
+int64_t estimate_p95_us(const struct run_estimate *l, int64_t declared_us);
 
-/** learn_longest_us() - within this the longest of @n such tasks ends, most
+/** estimate_longest_us() - within this the longest of @n such tasks ends, most
  * times */
-int64_t learn_longest_us(const struct learned *l, uint32_t n,
-                         int64_t declared_us);
+int64_t estimate_longest_us(const struct run_estimate *l, uint32_t n,
+                            int64_t declared_us);
 
 #endif
--- a/src/lease.c
+++ b/src/lease.c
@@ -9,14 +9,14 @@
     static const char *const texts[] = {
         [LEASE_OK] = "ok",
         [LEASE_FENCED] = "fenced off",
-        [LEASE_OLD_RUN] = "run too old",
-        [LEASE_LATE] = "deadline passed",
-        [LEASE_NO_ROOM] = "no room",
+        [LEASE_STALE_RUN] = "run too old",
+        [LEASE_DEADLINE_PASSED] = "deadline passed",
+        [LEASE_NO_CAPACITY] = "no room",
         [LEASE_UNHEALTHY] = "unhealthy",
-        [LEASE_OTHER_LIFE] = "another upstream answers",
-        [LEASE_BAD] = "call not understood",
+        [LEASE_WRONG_UPSTREAM] = "another upstream answers",
+        [LEASE_BAD_REQUEST] = "call not understood",
         [LEASE_UNSENT] = "no connection",
-        [LEASE_LOST] = "no answer",
+        [LEASE_NO_ANSWER] = "no answer",
     };
 
     return texts[r];
--- a/src/lease.h
+++ b/src/lease.h
@@ -31,21 +31,22 @@
 enum lease_call {
     LEASE_START, /* run this */
     LEASE_STOP,  /* don't run this, now or later */
-    LEASE_LOOK,  /* move the deadline on; tell what runs and what ended */
+    LEASE_POLL,  /* move the deadline on; tell what runs and what ended */
 };
 
 /** enum lease_result - what became of a call */
 enum lease_result {
     LEASE_OK,
-    LEASE_FENCED,     /* refused: it has seen a higher fence */
-    LEASE_OLD_RUN,    /* refused: a run as high was stopped or ended there */
-    LEASE_LATE,       /* refused: its deadline has passed there */
-    LEASE_NO_ROOM,    /* refused: it does not fit */
-    LEASE_UNHEALTHY,  /* refused: it says that it is not well */
-    LEASE_OTHER_LIFE, /* refused: another upstream answers at this address */
-    LEASE_BAD,        /* refused: it can't read the call */
-    LEASE_UNSENT,     /* no connection: it never heard of the call */
-    LEASE_LOST,       /* no answer: carried out, or not, or later */
+    LEASE_FENCED,    /* refused: it has seen a higher fence */
+    LEASE_STALE_RUN, /* refused: a run as high was stopped or ended there */
+    LEASE_DEADLINE_PASSED, /* refused: its deadline has passed there */
+    LEASE_NO_CAPACITY,     /* refused: it does not fit */
+    LEASE_UNHEALTHY,       /* refused: it says that it is not well */
+    LEASE_WRONG_UPSTREAM,  /* refused: another upstream answers at this address
+                            */
+    LEASE_BAD_REQUEST,     /* refused: it can't read the call */
+    LEASE_UNSENT,          /* no connection: it never heard of the call */
+    LEASE_NO_ANSWER,       /* no answer: carried out, or not, or later */
 };
 
 /** lease_result_text() - in a few words, for logs */
@@ -59,18 +60,18 @@
 
 /** enum lease_end - how a run ended */
 enum lease_end {
-    LEASE_DONE,
-    LEASE_FAILED,
-    LEASE_STOPPED,
-    LEASE_LAPSED, /* the deadline passed */
-    LEASE_BROKEN, /* another reason that is not the task's own */
+    LEASE_END_DONE,
+    LEASE_END_FAILED,
+    LEASE_END_STOPPED,
+    LEASE_END_EXPIRED, /* the deadline passed */
+    LEASE_END_ABORTED, /* another reason that is not the task's own */
 };
 
 /** struct lease_ended - a run that ended; @number rises from 1 in each life */
 struct lease_ended {
     uint64_t number;
     struct task_ref task;
-    enum lease_end how;
+    enum lease_end outcome;
 };
 
 /**
@@ -96,26 +97,26 @@
 
 /**
  * struct lease_request - a call
- * @call: what for
+ * @kind: what for
  * @upstream: its name, so that another at its address refuses
  * @address: where it is
  * @fence: of the holder
  * @task: of a start or stop
  * @spec: of a start; owned reference
  * @deadline_ms: on the upstream's clock; 0 leaves the deadline as it is
- * @noted: of a look: ends up to this number need not be told again
+ * @acked: of a look: ends up to this number need not be told again
  * @wait_ms: of a look: an answer without a new end may take so long
- * @timeout_us: without an answer by then it is LEASE_LOST
+ * @timeout_us: without an answer by then it is LEASE_NO_ANSWER
  */
 struct lease_request {
-    enum lease_call call;
+    enum lease_call kind;
     struct name upstream;
     struct address address;
     uint64_t fence;
     struct task_ref task;
     struct blob *spec;
     int64_t deadline_ms;
-    uint64_t noted;
+    uint64_t acked;
     int64_t wait_ms;
     int64_t timeout_us;
 };
--- a/src/leaseclient.c
+++ b/src/leaseclient.c
@@ -51,9 +51,9 @@
 leaseclient_options_default(void)
 {
     return (struct leaseclient_options){
-        .connections_kept = 512,
-        .idle_s = 15,
-        .answer_max = (size_t)1 << 20,
+        .idle_connections_max = 512,
+        .idle_max_s = 15,
+        .answer_bytes_max = (size_t)1 << 20,
         .clock = clock_real(),
     };
 }
@@ -122,7 +122,7 @@
     curl_multi_setopt(c->multi, CURLMOPT_SOCKETDATA, c);
     curl_multi_setopt(c->multi, CURLMOPT_TIMERFUNCTION, on_timer);
     curl_multi_setopt(c->multi, CURLMOPT_TIMERDATA, c);
-    curl_multi_setopt(c->multi, CURLMOPT_MAXCONNECTS, o->connections_kept);
+    curl_multi_setopt(c->multi, CURLMOPT_MAXCONNECTS, o->idle_connections_max);
     curl_multi_setopt(c->multi, CURLMOPT_PIPELINING, (long)CURLPIPE_NOTHING);
     return c;
 }
@@ -173,7 +173,7 @@
     struct call *call = user;
     size_t bytes = size * n;
 
-    if (call->size + bytes > call->client->opts.answer_max) {
+    if (call->size + bytes > call->client->opts.answer_bytes_max) {
         return 0;
     }
     if (call->size + bytes > call->room) {
@@ -249,7 +249,7 @@
 }
 
 static void
-add_headers(struct call *call, const struct lease_wire *wire)
+add_headers(struct call *call, const struct lease_http_request *wire)
 {
     call->headers =
         curl_slist_append(call->headers, "Content-Type: application/json");
@@ -264,7 +264,7 @@
 prepare(struct call *call, const struct leaseclient_options *o)
 {
     CURL *easy = call->easy;
-    struct lease_wire wire = {0};
+    struct lease_http_request wire = {0};
     char url[URL_SIZE];
 
     o->codec->encode(&call->request, &wire);
@@ -282,7 +282,7 @@
     curl_easy_setopt(easy, CURLOPT_HTTP_VERSION, CURL_HTTP_VERSION_1_1);
     curl_easy_setopt(easy, CURLOPT_PROTOCOLS_STR, "http");
     curl_easy_setopt(easy, CURLOPT_BUFFERSIZE, (long)READ_BUFFER);
-    curl_easy_setopt(easy, CURLOPT_MAXAGE_CONN, o->idle_s);
+    curl_easy_setopt(easy, CURLOPT_MAXAGE_CONN, o->idle_max_s);
     curl_easy_setopt(easy, CURLOPT_SOCKOPTFUNCTION, before_connect);
     curl_easy_setopt(easy, CURLOPT_SOCKOPTDATA, call);
     curl_easy_setopt(easy, CURLOPT_PREREQFUNCTION, before_request);
@@ -292,7 +292,7 @@
 }
 
 void
-leaseclient_begin(struct leaseclient *c, struct be_call *from)
+leaseclient_send(struct leaseclient *c, struct be_call *from)
 {
     struct handle h;
     struct call *call = table_add(&c->calls, &h);
@@ -316,14 +316,14 @@
 static bool
 refuses_only_later_attempt(const struct call *call, enum lease_result result)
 {
-    return call->request.call == LEASE_START && call->attempts > 1 &&
+    return call->request.kind == LEASE_START && call->attempts > 1 &&
            result != LEASE_OK;
 }
 
 static void
 finish(struct leaseclient *c, struct call *call, CURLcode result)
 {
-    struct lease_answer answer = {.result = LEASE_LOST};
+    struct lease_answer answer = {.result = LEASE_NO_ANSWER};
     long status = 0;
 
     if (result == CURLE_OK) {
@@ -333,13 +333,13 @@
                               call->size, &answer);
         if (refuses_only_later_attempt(call, answer.result)) {
             lease_answer_clear(&answer);
-            answer.result = LEASE_LOST;
+            answer.result = LEASE_NO_ANSWER;
         }
     }
     else if (call->attempts == 0) {
         answer.result = LEASE_UNSENT;
     }
-    c->opts.done(c->opts.ctx, call->number, &answer);
+    c->opts.on_outcome(c->opts.ctx, call->number, &answer);
 }
 
 static void
--- a/src/leaseclient.h
+++ b/src/leaseclient.h
@@ -6,7 +6,7 @@
  * wire is a codec's matter.  A call may reach its upstream several times, when
  * libcurl finds a kept connection closed: a start, a stop and a look all mean
  * the same when repeated.  A start that is refused after an earlier attempt is
- * LEASE_LOST.
+ * LEASE_NO_ANSWER.
  */
 #ifndef BM_LEASECLIENT_H
 #define BM_LEASECLIENT_H
@@ -17,12 +17,12 @@
 enum { LEASE_PATH_SIZE = 96, LEASE_HEADERS_MAX = 2, LEASE_HEADER_SIZE = 96 };
 
 /**
- * struct lease_wire - a call as HTTP
+ * struct lease_http_request - a call as HTTP
  * @path: of the POST
  * @headers: "Name: value", besides the body's type; unused ones are empty
  * @body: JSON, from malloc()
  */
-struct lease_wire {
+struct lease_http_request {
     char path[LEASE_PATH_SIZE];
     char headers[LEASE_HEADERS_MAX][LEASE_HEADER_SIZE];
     char *body;
@@ -32,10 +32,11 @@
  * struct lease_codec - how upstreams of a kind are spoken to
  * @encode: a call
  * @decode: its answer; @out is zeroed before.  An answer that can't be read
- *          is LEASE_LOST: what it said is not known.
+ *          is LEASE_NO_ANSWER: what it said is not known.
  */
 struct lease_codec {
-    void (*encode)(const struct lease_request *r, struct lease_wire *out);
+    void (*encode)(const struct lease_request *r,
+                   struct lease_http_request *out);
     void (*decode)(const struct lease_request *r, long status,
                    const char *body, size_t size, struct lease_answer *out);
 };
@@ -43,20 +44,21 @@
 /**
  * struct leaseclient_options - how to construct one
  * @codec: of the upstreams
- * @connections_kept: idle ones, in all
- * @idle_s: a kept connection older than that is not used again
- * @answer_max: bytes; a longer answer is LEASE_LOST
+ * @idle_connections_max: idle ones, in all
+ * @idle_max_s: a kept connection older than that is not used again
+ * @answer_bytes_max: bytes; a longer answer is LEASE_NO_ANSWER
  * @clock: for timeouts
- * @done: takes each outcome, exactly one a call; the answer is the callee's
- * @ctx: for @done
+ * @on_outcome: takes each outcome, exactly one a call; the answer is the
+ * callee's
+ * @ctx: for @on_outcome
  */
 struct leaseclient_options {
     const struct lease_codec *codec;
-    long connections_kept;
-    long idle_s;
-    size_t answer_max;
+    long idle_connections_max;
+    long idle_max_s;
+    size_t answer_bytes_max;
     const struct clock *clock;
-    void (*done)(void *ctx, uint64_t call, struct lease_answer *answer);
+    void (*on_outcome)(void *ctx, uint64_t call, struct lease_answer *answer);
     void *ctx;
 };
 
@@ -71,10 +73,10 @@
 /** leaseclient_free() - calls in progress get no outcome; NULL is allowed */
 void leaseclient_free(struct leaseclient *c);
 
-/** leaseclient_begin() - sends a call; takes over what it owns.  Its timeout
+/** leaseclient_send() - sends a call; takes over what it owns.  Its timeout
  * counts from when the request goes out on a connection; where there is no
  * connection so long after it was dialed, it is LEASE_UNSENT. */
-void leaseclient_begin(struct leaseclient *c, struct be_call *call);
+void leaseclient_send(struct leaseclient *c, struct be_call *call);
 
 /** leaseclient_fd() - readable when leaseclient_run() has work */
 int leaseclient_fd(const struct leaseclient *c);
--- a/src/lend.c
+++ b/src/lend.c
@@ -91,7 +91,8 @@
 count_debts(struct entry *e, const struct service_state *s)
 {
     struct lends *ls = e->dispatch->lends;
-    int64_t before = e->now.mono_us - learn_expected_us(&s->learned, DEBT_US);
+    int64_t before =
+        e->now.mono_us - estimate_mean_us(&s->run_estimate, DEBT_US);
     struct handle h;
     struct lent *l;
     uint32_t at = 0;
--- a/src/registry.c
+++ b/src/registry.c
@@ -190,7 +190,8 @@
     struct msg m = {.kind = MSG_ROSTER};
     struct rec_roster *list = &m.u.roster;
 
-    list->n_brokers = roster_for(&r->roster, to, fresh_only, &list->brokers);
+    list->n_brokers =
+        roster_select(&r->roster, to, fresh_only, &list->brokers);
     if (!fresh_only || list->n_brokers > 0) {
         list->registries = r->registries;
         list->n_registries = r->n_registries;
@@ -297,8 +298,8 @@
 }
 
 void
-registry_recall(struct registry *r, const struct rec_upstream_report *kept,
-                struct moment now)
+registry_restore(struct registry *r, const struct rec_upstream_report *kept,
+                 struct moment now)
 {
     for (size_t i = 0; i < kept->n_upstreams; i++) {
         (void)registry_announce(r, &kept->upstreams[i], now);
@@ -354,7 +355,7 @@
                 const struct rec_introduction *i, struct moment now,
                 struct control_effects *fx)
 {
-    struct listener *b = roster_met(&r->roster, from, i, now.mono_us);
+    struct listener *b = roster_update(&r->roster, from, i, now.mono_us);
 
     if (b->fresh && r->tell_us == INT64_MAX) {
         r->tell_us = now.mono_us + ROSTER_PAUSE_US;
@@ -366,8 +367,8 @@
 }
 
 bool
-registry_message(struct registry *r, struct name from, const struct msg *m,
-                 struct moment now, struct control_effects *fx)
+registry_on_message(struct registry *r, struct name from, const struct msg *m,
+                    struct moment now, struct control_effects *fx)
 {
     if (m->kind != MSG_INTRODUCTION) {
         return false;
@@ -377,8 +378,8 @@
 }
 
 void
-registry_members(struct registry *r, const struct rec_membership *m,
-                 struct control_effects *fx)
+registry_set_members(struct registry *r, const struct rec_membership *m,
+                     struct control_effects *fx)
 {
     free(r->registries);
     r->registries = calloc(m->n_members + 1, sizeof(*r->registries));
@@ -396,7 +397,8 @@
 }
 
 void
-registry_peer(struct registry *r, struct name peer, bool up, struct moment now)
+registry_on_connection(struct registry *r, struct name peer, bool up,
+                       struct moment now)
 {
     struct listener *b = roster_find(&r->roster, peer);
 
@@ -410,7 +412,7 @@
 repeat_all(struct registry *r, struct moment now, struct control_effects *fx)
 {
     forget_silent(r, now);
-    roster_forget(&r->roster, now.mono_us - BROKER_GONE_US);
+    roster_remove_stale(&r->roster, now.mono_us - BROKER_GONE_US);
     send_rosters(r, fx, false);
     for (const struct listener *b = r->roster.brokers; b != NULL;
          b = b->next) {
@@ -435,7 +437,7 @@
     if (now.mono_us >= r->tell_us) {
         r->tell_us = INT64_MAX;
         send_rosters(r, fx, true);
-        roster_settled(&r->roster);
+        roster_mark_announced(&r->roster);
     }
     if (now.mono_us >= r->repeat_us) {
         r->repeat_us = now.mono_us + REPEAT_US;
--- a/src/registry.h
+++ b/src/registry.h
@@ -39,12 +39,12 @@
 /** registry_free() - NULL is allowed */
 void registry_free(struct registry *r);
 
-/** registry_recall() - what CE_SAVE_UPSTREAMS kept in an earlier life of this
+/** registry_restore() - what CE_SAVE_UPSTREAMS kept in an earlier life of this
  * process; of a life or a number of announcements that is known already it
  * changes nothing */
-void registry_recall(struct registry *r,
-                     const struct rec_upstream_report *kept,
-                     struct moment now);
+void registry_restore(struct registry *r,
+                      const struct rec_upstream_report *kept,
+                      struct moment now);
 
 /** registry_announce() - an upstream says how it is; @u is copied.  Of one
  * that is gone only its name and life count.  Brokers are told by the next
@@ -53,18 +53,19 @@
                                        const struct rec_leased_upstream *u,
                                        struct moment now);
 
-/** registry_message() - whether the message was one for the registry */
-bool registry_message(struct registry *r, struct name from,
-                      const struct msg *m, struct moment now,
-                      struct control_effects *fx);
+/** registry_on_message() - whether the message was one for the registry */
+bool registry_on_message(struct registry *r, struct name from,
+                         const struct msg *m, struct moment now,
+                         struct control_effects *fx);
 
-/** registry_members() - the processes that serve as registries */
-void registry_members(struct registry *r, const struct rec_membership *m,
-                      struct control_effects *fx);
+/** registry_set_members() - the processes that serve as registries */
+void registry_set_members(struct registry *r, const struct rec_membership *m,
+                          struct control_effects *fx);
 
-/** registry_peer() - the connection to a process is there, or is gone */
-void registry_peer(struct registry *r, struct name peer, bool up,
-                   struct moment now);
+/** registry_on_connection() - the connection to a process is there, or is gone
+ */
+void registry_on_connection(struct registry *r, struct name peer, bool up,
+                            struct moment now);
 
 /** registry_tick() - repeats and forgets; at registry_next_us() */
 void registry_tick(struct registry *r, struct moment now,
--- a/src/roster.c
+++ b/src/roster.c
@@ -55,8 +55,8 @@
 }
 
 struct listener *
-roster_met(struct roster *r, struct name name,
-           const struct rec_introduction *i, int64_t now_us)
+roster_update(struct roster *r, struct name name,
+              const struct rec_introduction *i, int64_t now_us)
 {
     struct listener *b = roster_find(r, name);
 
@@ -71,7 +71,7 @@
 }
 
 void
-roster_forget(struct roster *r, int64_t before_us)
+roster_remove_stale(struct roster *r, int64_t before_us)
 {
     struct listener **at = &r->brokers;
 
@@ -88,7 +88,7 @@
 }
 
 void
-roster_settled(struct roster *r)
+roster_mark_announced(struct roster *r)
 {
     for (struct listener *b = r->brokers; b != NULL; b = b->next) {
         b->fresh = false;
@@ -143,8 +143,8 @@
 }
 
 size_t
-roster_for(const struct roster *r, const struct listener *to, bool fresh_only,
-           struct rec_instance **list)
+roster_select(const struct roster *r, const struct listener *to,
+              bool fresh_only, struct rec_instance **list)
 {
     size_t n_ranked;
     struct candidate *all = ranked(r, to, &n_ranked);
@@ -162,7 +162,7 @@
 
         in_zone = another ? 0 : in_zone + 1;
         if ((fresh_only && (!b->fresh || b == to)) ||
-            (in_zone >= ROSTER_FAR_MAX &&
+            (in_zone >= ROSTER_REMOTE_ZONE_MAX &&
              !name_equal(b->info.zone, to->info.zone))) {
             continue;
         }
--- a/src/roster.h
+++ b/src/roster.h
@@ -16,7 +16,7 @@
 /* Brokers that one is told of in each other zone.  Four would do to find a
  * short queue; twice as many, since some may be cut off.  A region with no
  * more than that in a zone is connected in full. */
-enum { ROSTER_FAR_MAX = 8 };
+enum { ROSTER_REMOTE_ZONE_MAX = 8 };
 
 /**
  * struct listener - a broker that wants to know
@@ -45,23 +45,26 @@
 /** roster_find() - the broker of that name, or NULL */
 struct listener *roster_find(const struct roster *r, struct name name);
 
-/** roster_met() - a broker introduces itself; returns it, with @fresh set
+/** roster_update() - a broker introduces itself; returns it, with @fresh set
  * where the others should hear of it */
-struct listener *roster_met(struct roster *r, struct name name,
-                            const struct rec_introduction *i, int64_t now_us);
+struct listener *roster_update(struct roster *r, struct name name,
+                               const struct rec_introduction *i,
+                               int64_t now_us);
 
-/** roster_forget() - drops those that are down since before @before_us */
-void roster_forget(struct roster *r, int64_t before_us);
+/** roster_remove_stale() - drops those that are down since before @before_us
+ */
+void roster_remove_stale(struct roster *r, int64_t before_us);
 
-/** roster_settled() - all have been told */
-void roster_settled(struct roster *r);
+/** roster_mark_announced() - all have been told */
+void roster_mark_announced(struct roster *r);
 
-/** roster_for() - whom @to is told of: all of its zone, itself too, and of
- * each other zone at most ROSTER_FAR_MAX, those that hold upstreams first and
- * among equals others for each receiver, so that their load is spread.  With
+/** roster_select() - whom @to is told of: all of its zone, itself too, and of
+ * each other zone at most ROSTER_REMOTE_ZONE_MAX, those that hold upstreams
+ * first and among equals others for each receiver, so that their load is
+ * spread.  With
  * @fresh_only just the fresh among the others.  Returns how many; *@list is
  * the caller's to free. */
-size_t roster_for(const struct roster *r, const struct listener *to,
-                  bool fresh_only, struct rec_instance **list);
+size_t roster_select(const struct roster *r, const struct listener *to,
+                     bool fresh_only, struct rec_instance **list);
 
 #endif
--- a/src/start.c
+++ b/src/start.c
@@ -183,11 +183,11 @@
 silent_after(const struct entry *e, const struct start *s)
 {
     int64_t latest = before_deadline(e, s);
-    const struct learned *l = &s->service->learned;
-    int64_t us = SILENT_TIMES * learn_tail_us(l, s->declared_us);
+    const struct run_estimate *l = &s->service->run_estimate;
+    int64_t us = SILENT_TIMES * estimate_p95_us(l, s->declared_us);
 
     us = longer(us, SILENT_LONGEST *
-                        learn_longest_us(l, JOB_TASKS_MAX, s->declared_us));
+                        estimate_longest_us(l, JOB_TASKS_MAX, s->declared_us));
     us = longer(us, s->declared_us);
     us = longer(us, SILENT_MIN_US);
     return us < latest ? us : latest;
@@ -231,7 +231,7 @@
     s->epoch = place_own(p) ? p->upstream->info.epoch : p->epoch;
     s->need = t->need;
     s->declared_us = t->run_us;
-    s->expected_us = learn_expected_us(&s->service->learned, t->run_us);
+    s->expected_us = estimate_mean_us(&s->service->run_estimate, t->run_us);
     s->sent_us = e->now.mono_us;
     s->deadline_us = job->deadline_us;
     map_put(&ss->by_call, s);
@@ -347,7 +347,7 @@
     if (u != NULL) {
         health_ok(e, u, (double)ran_us / expected);
     }
-    learn_sample(&s->service->learned, s->declared_us, ran_us);
+    estimate_add_run(&s->service->run_estimate, s->declared_us, ran_us);
 }
 
 static void
--- a/src/vlease.c
+++ b/src/vlease.c
@@ -243,7 +243,7 @@
     e->to = p->number;
     e->life = p->life;
     e->number = c->call;
-    e->answer.result = LEASE_LOST;
+    e->answer.result = LEASE_NO_ANSWER;
 }
 
 static void
@@ -391,8 +391,8 @@
         send_to(v, p, from, &reply);
         return;
     }
-    (void)registry_message(p->registry, from, &e->msg, vlease_moment(v, p),
-                           &v->registry_effects);
+    (void)registry_on_message(p->registry, from, &e->msg, vlease_moment(v, p),
+                              &v->registry_effects);
     flush_registry(v, p);
     plan_registry(v, p);
 }
@@ -445,7 +445,8 @@
     }
     v->closed[e->to][e->from] += e->up ? 0 : 1;
     if (p->registry != NULL) {
-        registry_peer(p->registry, from->name, e->up, vlease_moment(v, p));
+        registry_on_connection(p->registry, from->name, e->up,
+                               vlease_moment(v, p));
         return;
     }
     ev.u.peer.peer = from->name;
@@ -459,7 +460,7 @@
     struct vprocess *p = &v->processes[e->to];
     struct broker_event ev = {.kind = BEV_CALLED};
 
-    if (p->cut_upstreams && e->answer.result != LEASE_LOST) {
+    if (p->cut_upstreams && e->answer.result != LEASE_NO_ANSWER) {
         return;
     }
     ev.u.called.call = e->number;
@@ -575,7 +576,7 @@
 call_label(enum lease_call call)
 {
     static const char *const labels[] = {
-        [LEASE_START] = "start", [LEASE_STOP] = "stop", [LEASE_LOOK] = "look"};
+        [LEASE_START] = "start", [LEASE_STOP] = "stop", [LEASE_POLL] = "look"};
 
     return labels[call];
 }
@@ -593,14 +594,14 @@
         hop->to = e->to < v->n_brokers ? e->to : VLEASE_NOBODY;
         return true;
     case VEV_REQUEST:
-        hop->label = call_label(e->request.call);
+        hop->label = call_label(e->request.kind);
         hop->from = e->from;
         hop->upstream = e->to;
         return true;
     case VEV_ANSWER:
         hop->label = "answer";
         hop->to = e->to;
-        return e->answer.result != LEASE_LOST;
+        return e->answer.result != LEASE_NO_ANSWER;
     default:
         return false;
     }
--- a/src/vleasefault.c
+++ b/src/vleasefault.c
@@ -149,8 +149,8 @@
     p->tick_us = 0;
     p->registry = registry_new();
     if (remember && p->kept.kind == MSG_UPSTREAM_REPORT) {
-        registry_recall(p->registry, &p->kept.u.upstream_report,
-                        vlease_moment(v, p));
+        registry_restore(p->registry, &p->kept.u.upstream_report,
+                         vlease_moment(v, p));
     }
     /* Brokers that were started meanwhile dial it. */
     connect_to(v, p, v->n_brokers);
--- a/src/vleaseup.c
+++ b/src/vleaseup.c
@@ -233,7 +233,7 @@
         array_grow(u->ended_at_us, u->n_ended, &room, sizeof(*u->ended_at_us));
     u->ended[u->n_ended].number = ++u->last_ended;
     u->ended[u->n_ended].task = u->runs[i].task;
-    u->ended[u->n_ended].how = how;
+    u->ended[u->n_ended].outcome = how;
     u->ended_at_us[u->n_ended] = v->now_us;
     u->n_ended++;
     remember_stopped(u, u->runs[i].task);
@@ -259,8 +259,8 @@
             end_run(v, u, i,
                     u->trouble == VLEASE_FAILS ||
                             vlease_random(v, MISSED_IN) == 0
-                        ? LEASE_FAILED
-                        : LEASE_DONE);
+                        ? LEASE_END_FAILED
+                        : LEASE_END_DONE);
             return;
         }
         if (r->number == e->number && u->trouble != VLEASE_HANGS) {
@@ -278,7 +278,7 @@
         return;
     }
     while (u->n_runs > 0) {
-        end_run(v, u, u->n_runs - 1, LEASE_LAPSED);
+        end_run(v, u, u->n_runs - 1, LEASE_END_EXPIRED);
     }
 }
 
@@ -364,13 +364,13 @@
         }
     }
     if (too_old(u, r->task)) {
-        return LEASE_OLD_RUN;
+        return LEASE_STALE_RUN;
     }
     if (clock_ms(v, u) > r->deadline_ms) {
-        return LEASE_LATE;
+        return LEASE_DEADLINE_PASSED;
     }
     if (u->n_runs == RUNS_MAX || job == NULL) {
-        return LEASE_NO_ROOM;
+        return LEASE_NO_CAPACITY;
     }
     judge_overlap(v, r->task);
     judge_room(v, u, r->task, job->cpu_milli);
@@ -396,7 +396,7 @@
     move_on(v, u);
     for (size_t i = 0; i < u->n_runs; i++) {
         if (same_task(u->runs[i].task, t) && u->runs[i].task.run == t.run) {
-            end_run(v, u, i, LEASE_STOPPED);
+            end_run(v, u, i, LEASE_END_STOPPED);
             return;
         }
     }
@@ -410,7 +410,7 @@
     if (u->look.waiting) {
         answer_look(v, u);
     }
-    forget_ends(v, u, e->request.noted);
+    forget_ends(v, u, e->request.acked);
     if (e->request.deadline_ms > 0) {
         extend(v, u, e->request.deadline_ms);
     }
@@ -475,11 +475,11 @@
         return;
     }
     u->fence = e->request.fence;
-    if (e->request.call == LEASE_LOOK) {
+    if (e->request.kind == LEASE_POLL) {
         look(v, u, e);
         return;
     }
-    if (e->request.call == LEASE_START) {
+    if (e->request.kind == LEASE_START) {
         result = start(v, u, &e->request);
     }
     else {
--- a/tests/broker_scale_test.c
+++ b/tests/broker_scale_test.c
@@ -91,7 +91,7 @@
         if (f->kind == BE_SEND) {
             count(o, &f->u.send);
         }
-        else if (f->kind == BE_CALL && f->u.call.request.call == LEASE_LOOK) {
+        else if (f->kind == BE_CALL && f->u.call.request.kind == LEASE_POLL) {
             o->look = f->u.call.call;
         }
     }
--- a/tests/health_test.c
+++ b/tests/health_test.c
@@ -179,30 +179,30 @@
 static void
 declared_times_are_corrected(void)
 {
-    struct learned l = {0};
+    struct run_estimate l = {0};
 
-    CU_ASSERT_EQUAL(learn_expected_us(&l, 900), 900);
+    CU_ASSERT_EQUAL(estimate_mean_us(&l, 900), 900);
     for (int i = 0; i < 1000; i++) {
         int64_t ran = INT64_C(1000) * (1 + i % 7);
 
-        learn_sample(&l, 3 * ran, ran);
+        estimate_add_run(&l, 3 * ran, ran);
     }
-    CU_ASSERT_DOUBLE_EQUAL(learn_expected_us(&l, 6000), 2000, 100);
-    CU_ASSERT(learn_tail_us(&l, 6000) < 3000);
+    CU_ASSERT_DOUBLE_EQUAL(estimate_mean_us(&l, 6000), 2000, 100);
+    CU_ASSERT(estimate_p95_us(&l, 6000) < 3000);
 }
 
 /* Declared run times say nothing: the mean does better. */
 static void
 useless_declarations_are_ignored(void)
 {
-    struct learned l = {0};
+    struct run_estimate l = {0};
 
     for (int i = 0; i < 400; i++) {
-        learn_sample(&l, 1 + INT64_C(5000) * (i * 7 % 11),
-                     900 + INT64_C(100) * (i % 3));
+        estimate_add_run(&l, 1 + INT64_C(5000) * (i * 7 % 11),
+                         900 + INT64_C(100) * (i % 3));
     }
-    CU_ASSERT_DOUBLE_EQUAL(learn_expected_us(&l, 50000), 1000, 50);
-    CU_ASSERT_DOUBLE_EQUAL(learn_expected_us(&l, 1), 1000, 50);
+    CU_ASSERT_DOUBLE_EQUAL(estimate_mean_us(&l, 50000), 1000, 50);
+    CU_ASSERT_DOUBLE_EQUAL(estimate_mean_us(&l, 1), 1000, 50);
 }
 
 #define ADD(test) check_add("health", #test, test)
--- a/tests/leaseclient_test.c
+++ b/tests/leaseclient_test.c
@@ -28,7 +28,7 @@
 };
 
 static void
-encode(const struct lease_request *r, struct lease_wire *out)
+encode(const struct lease_request *r, struct lease_http_request *out)
 {
     (void)r;
     (void)snprintf(out->path, sizeof(out->path), "/call");
@@ -47,7 +47,7 @@
 {
     enum lease_result r = LEASE_OK;
 
-    while (r != LEASE_LOST && status_of(r) != status) {
+    while (r != LEASE_NO_ANSWER && status_of(r) != status) {
         r++;
     }
     return r;
@@ -81,11 +81,11 @@
     struct be_call call = {.call = 1};
 
     o->outcomes = 0;
-    call.request.call = kind;
+    call.request.kind = kind;
     call.request.timeout_us = TIMEOUT_US;
     (void)snprintf(call.request.address.s, sizeof(call.request.address.s),
                    "127.0.0.1:%u", o->port);
-    leaseclient_begin(o->client, &call);
+    leaseclient_send(o->client, &call);
 }
 
 static void
@@ -101,7 +101,7 @@
     manual_clock_init(&o->clock, (struct moment){USEC_PER_SEC, USEC_PER_SEC});
     opts.codec = &codec;
     opts.clock = &o->clock.base;
-    opts.done = done;
+    opts.on_outcome = done;
     opts.ctx = o;
     o->client = leaseclient_new(&opts);
     CU_ASSERT_PTR_NOT_NULL_FATAL(o->client);
@@ -273,7 +273,7 @@
     manual_clock_advance(&o.clock, TIMEOUT_US);
     leaseclient_run(o.client);
     CU_ASSERT_EQUAL(o.outcomes, 1);
-    CU_ASSERT_EQUAL(o.result, LEASE_LOST);
+    CU_ASSERT_EQUAL(o.result, LEASE_NO_ANSWER);
     finish(&o);
 }
 
@@ -288,7 +288,7 @@
     take_request(&o);
     answer_call(&o, said);
     CU_ASSERT_EQUAL(o.result, expected);
-    CU_ASSERT_EQUAL(o.clock_ms, expected == LEASE_LOST ? 0 : CLOCK_MS);
+    CU_ASSERT_EQUAL(o.clock_ms, expected == LEASE_NO_ANSWER ? 0 : CLOCK_MS);
     finish(&o);
 }
 
@@ -297,9 +297,9 @@
 static void
 refusal_of_a_second_attempt_is_not_an_answer(void)
 {
-    for (int r = LEASE_FENCED; r <= LEASE_BAD; r++) {
+    for (int r = LEASE_FENCED; r <= LEASE_BAD_REQUEST; r++) {
         for (int how = 0; how < BROKEN_WAYS; how++) {
-            check_second_attempt(LEASE_START, how, r, LEASE_LOST);
+            check_second_attempt(LEASE_START, how, r, LEASE_NO_ANSWER);
         }
     }
 }
@@ -319,8 +319,8 @@
 static void
 second_attempt_of_a_look_or_stop_is_an_answer(void)
 {
-    for (int r = LEASE_FENCED; r <= LEASE_BAD; r++) {
-        check_second_attempt(LEASE_LOOK, BROKEN_RESET, r, r);
+    for (int r = LEASE_FENCED; r <= LEASE_BAD_REQUEST; r++) {
+        check_second_attempt(LEASE_POLL, BROKEN_RESET, r, r);
         check_second_attempt(LEASE_STOP, BROKEN_RESET, r, r);
     }
 }
@@ -330,7 +330,7 @@
 static void
 refusal_of_the_only_attempt_is_an_answer(void)
 {
-    for (int r = LEASE_FENCED; r <= LEASE_BAD; r++) {
+    for (int r = LEASE_FENCED; r <= LEASE_BAD_REQUEST; r++) {
         struct one o;
 
         begin_on_kept_connection(&o, LEASE_START);
@@ -352,7 +352,7 @@
         stop_listening(&o);
         break_connection(&o, how);
         CU_ASSERT(net_await(has_outcome, &o));
-        CU_ASSERT_EQUAL(o.result, LEASE_LOST);
+        CU_ASSERT_EQUAL(o.result, LEASE_NO_ANSWER);
         CU_ASSERT_EQUAL(o.outcomes, 1);
         finish(&o);
     }
--- a/tests/platform_test.c
+++ b/tests/platform_test.c
@@ -266,7 +266,7 @@
         struct be_answer a = {.outcome = answers[i].outcome};
         struct httpapi_response r = {0};
 
-        platform_caller_codec()->answer(&a, &r);
+        platform_caller_codec()->encode_answer(&a, &r);
         CU_ASSERT_EQUAL(r.status, answers[i].status);
         CU_ASSERT_EQUAL(r.body != NULL, answers[i].body != NULL);
         if (r.body != NULL && answers[i].body != NULL) {
@@ -365,14 +365,14 @@
 calls_to_workers(void)
 {
     struct lease_request r = {
-        .call = LEASE_START,
+        .kind = LEASE_START,
         .upstream = name_of("i-1"),
         .fence = 7,
         .task = {0x5c0e7a21d94b36f8, 1, 17, 2},
         .spec = blob_new("a\"b", 3),
         .deadline_ms = 486000,
     };
-    struct lease_wire w = {0};
+    struct lease_http_request w = {0};
 
     platform_worker_codec()->encode(&r, &w);
     CU_ASSERT_STRING_EQUAL(w.path, "/v1/run-start");
@@ -381,8 +381,8 @@
         w.body, "{\"fencing-token\":7,\"task\":\"5c0e7a21d94b36f8.0.1.17\","
                 "\"run\":2,\"spec\":\"a\\\"b\",\"deadline-ms\":486000}");
     free(w.body);
-    r.call = LEASE_LOOK;
-    r.noted = 57;
+    r.kind = LEASE_POLL;
+    r.acked = 57;
     r.wait_ms = 250;
     platform_worker_codec()->encode(&r, &w);
     CU_ASSERT_STRING_EQUAL(w.path, "/v1/hold");
@@ -400,29 +400,30 @@
 } answers[] = {
     {LEASE_START, 200, "{\"clock-ms\":5}", LEASE_OK},
     {LEASE_START, 409, "{\"reason\":\"fence\"}", LEASE_FENCED},
-    {LEASE_START, 409, "{\"reason\":\"old\"}", LEASE_OLD_RUN},
-    {LEASE_START, 409, "{\"reason\":\"late\"}", LEASE_LATE},
-    {LEASE_START, 409, "{\"reason\":\"room\"}", LEASE_NO_ROOM},
-    {LEASE_START, 409, "{\"reason\":\"new\"}", LEASE_BAD},
-    {LEASE_START, 409, "", LEASE_BAD},
-    {LEASE_START, 400, "", LEASE_BAD},
-    {LEASE_START, 421, "", LEASE_OTHER_LIFE},
+    {LEASE_START, 409, "{\"reason\":\"old\"}", LEASE_STALE_RUN},
+    {LEASE_START, 409, "{\"reason\":\"late\"}", LEASE_DEADLINE_PASSED},
+    {LEASE_START, 409, "{\"reason\":\"room\"}", LEASE_NO_CAPACITY},
+    {LEASE_START, 409, "{\"reason\":\"new\"}", LEASE_BAD_REQUEST},
+    {LEASE_START, 409, "", LEASE_BAD_REQUEST},
+    {LEASE_START, 400, "", LEASE_BAD_REQUEST},
+    {LEASE_START, 421, "", LEASE_WRONG_UPSTREAM},
     {LEASE_START, 429, "", LEASE_UNHEALTHY},
     {LEASE_START, 503, "", LEASE_UNHEALTHY},
-    {LEASE_START, 500, "", LEASE_LOST},
-    {LEASE_LOOK, 200, "{\"running\":[],\"finished\":[]}", LEASE_OK},
-    {LEASE_LOOK, 200, "{\"running\":[]}", LEASE_LOST},
-    {LEASE_LOOK, 200, "{\"running\":[[\"x\",1]],\"finished\":[]}", LEASE_LOST},
-    {LEASE_LOOK, 200, "{\"running\":[],\"finished\":[[\"1\",\"1.0.0.0\",1]]}",
-     LEASE_LOST},
-    {LEASE_LOOK, 200, "not JSON", LEASE_LOST},
+    {LEASE_START, 500, "", LEASE_NO_ANSWER},
+    {LEASE_POLL, 200, "{\"running\":[],\"finished\":[]}", LEASE_OK},
+    {LEASE_POLL, 200, "{\"running\":[]}", LEASE_NO_ANSWER},
+    {LEASE_POLL, 200, "{\"running\":[[\"x\",1]],\"finished\":[]}",
+     LEASE_NO_ANSWER},
+    {LEASE_POLL, 200, "{\"running\":[],\"finished\":[[\"1\",\"1.0.0.0\",1]]}",
+     LEASE_NO_ANSWER},
+    {LEASE_POLL, 200, "not JSON", LEASE_NO_ANSWER},
 };
 
 static void
 answers_of_workers(void)
 {
     for (size_t i = 0; i < sizeof(answers) / sizeof(answers[0]); i++) {
-        struct lease_request r = {.call = answers[i].call};
+        struct lease_request r = {.kind = answers[i].call};
         struct lease_answer a = {0};
 
         platform_worker_codec()->decode(&r, answers[i].status, answers[i].body,
@@ -440,7 +441,7 @@
         "\"running\":[[\"5c0e7a21d94b36f8.0.1.17\",2,\"\",41]],"
         "\"finished\":[[58,\"00000000000000ff.0.0.9\",1,\"done\",\"\"],"
         "[59,\"00000000000000ff.0.0.8\",3,\"lapsed\",\"\"]]}";
-    struct lease_request r = {.call = LEASE_LOOK};
+    struct lease_request r = {.kind = LEASE_POLL};
     struct lease_answer a = {0};
 
     platform_worker_codec()->decode(&r, 200, text, strlen(text), &a);
@@ -454,9 +455,9 @@
     CU_ASSERT_EQUAL(a.running[0].task.run, 2);
     CU_ASSERT_EQUAL(a.running[0].percent, 41);
     CU_ASSERT_EQUAL(a.ended[0].number, 58);
-    CU_ASSERT_EQUAL(a.ended[0].how, LEASE_DONE);
+    CU_ASSERT_EQUAL(a.ended[0].outcome, LEASE_END_DONE);
     CU_ASSERT_EQUAL(a.ended[1].task.job, 255);
-    CU_ASSERT_EQUAL(a.ended[1].how, LEASE_LAPSED);
+    CU_ASSERT_EQUAL(a.ended[1].outcome, LEASE_END_EXPIRED);
     lease_answer_clear(&a);
 }
 
--- a/tests/registry_test.c
+++ b/tests/registry_test.c
@@ -93,8 +93,8 @@
     m.u.introduction.address = address_of("127.0.0.1:1");
     m.u.introduction.holds = holds ? 1 : 0;
     m.u.introduction.again = again ? 1 : 0;
-    CU_ASSERT_TRUE(registry_message(r->registry, numbered("broker", broker),
-                                    &m, at(r), &r->fx));
+    CU_ASSERT_TRUE(registry_on_message(r->registry, numbered("broker", broker),
+                                       &m, at(r), &r->fx));
     take_effects(r);
 }
 
@@ -173,8 +173,8 @@
     }
     /* Once all of its zone and the few of others, and once more those that
      * came later, some of them twice. */
-    CU_ASSERT_TRUE(most <=
-                   3 * (BROKERS_EACH + (ZONES - 1) * (size_t)ROSTER_FAR_MAX));
+    CU_ASSERT_TRUE(most <= 3 * (BROKERS_EACH +
+                                (ZONES - 1) * (size_t)ROSTER_REMOTE_ZONE_MAX));
     region_free(r);
 }
 
@@ -237,15 +237,15 @@
         struct rec_introduction one = {.zone = zone_of(i), .holds = i < 90};
 
         one.address = address_of("127.0.0.1:1");
-        (void)roster_met(&roster, numbered("broker", i), &one, SEC);
+        (void)roster_update(&roster, numbered("broker", i), &one, SEC);
     }
     for (const struct listener *to = roster.brokers; to != NULL;
          to = to->next) {
         struct rec_instance *list;
-        size_t n = roster_for(&roster, to, false, &list);
+        size_t n = roster_select(&roster, to, false, &list);
 
-        CU_ASSERT_EQUAL(n,
-                        BROKERS_EACH + (ZONES - 1) * (size_t)ROSTER_FAR_MAX);
+        CU_ASSERT_EQUAL(n, BROKERS_EACH +
+                               (ZONES - 1) * (size_t)ROSTER_REMOTE_ZONE_MAX);
         for (size_t i = 0; i < n; i++) {
             size_t other =
                 strtoul(list[i].name.s + strlen("broker-"), NULL, 10);
@@ -310,7 +310,7 @@
         kept[i].zone = zone_of(0);
     }
     forget_told(r);
-    registry_recall(r->registry, &report, at(r));
+    registry_restore(r->registry, &report, at(r));
     introduce(r, 0, false, false);
     CU_ASSERT_EQUAL(r->told[0].upstreams, 2);
     again.upstream = numbered("upstream", 1);
