--- a/src/admit.c
+++ b/src/admit.c
@@ -14,7 +14,7 @@
 #define RETRY_MOST_US (30 * USEC_PER_SEC)
 
 uint8_t
-admit_class(int64_t work_us)
+admit_work_class(int64_t work_us)
 {
     uint8_t class = 0;
 
@@ -73,10 +73,10 @@
 {
     uint32_t n = 0;
 
-    for (size_t i = 0; i < s->pool.n; i++) {
-        const struct place *p = s->pool.all[i];
+    for (size_t i = 0; i < s->pool.n_places; i++) {
+        const struct place *p = s->pool.all_places[i];
 
-        if (!place_own(p) && !p->closed) {
+        if (!place_is_own(p) && !p->closed) {
             n += p->slots;
         }
     }
@@ -96,7 +96,7 @@
     uint32_t quota;
     uint32_t n;
 
-    if (s->capacity > 0 && e->now.mono_us < s->capacity_us + CAPACITY_US) {
+    if (s->capacity > 0 && e->now.mono_us < s->capacity_at_us + CAPACITY_US) {
         return s->capacity;
     }
     z = zone_slots(e, s);
@@ -105,7 +105,7 @@
     quota = quotas_slots(e, s);
     n = n < quota ? n : quota;
     s->capacity = more(n, 1);
-    s->capacity_us = e->now.mono_us;
+    s->capacity_at_us = e->now.mono_us;
     return s->capacity;
 }
 
@@ -123,8 +123,8 @@
 enum fit { FIT_SOME, FIT_NONE, FIT_UNKNOWN };
 
 void
-admit_largest(const struct entry *e, const struct service_state *s,
-              struct rec_load *load)
+admit_fill_largest(const struct entry *e, const struct service_state *s,
+                   struct rec_load *load)
 {
     const struct upstream *u;
     uint32_t at = 0;
@@ -283,11 +283,11 @@
     for (size_t i = 0; i < d->n_services; i++) {
         const struct service_state *s = d->services[i];
 
-        if (s->queued == 0 || s->conf == NULL) {
+        if (s->n_queued == 0 || s->conf == NULL) {
             continue;
         }
         if (name_equal(s->conf->team, team)) {
-            c.own += s->queued;
+            c.own += s->n_queued;
         }
         else {
             c.weights += team_weight(e, s->conf->team);
@@ -304,10 +304,10 @@
 queue_full(const struct entry *e, const struct service_state *s,
            const struct job *job)
 {
-    uint64_t all = (uint64_t)e->dispatch->queued + job->n_tasks;
+    uint64_t all = (uint64_t)e->dispatch->n_queued + job->n_tasks;
     struct crowd c;
 
-    if (s->conf != NULL && s->queued + job->n_tasks > s->conf->max_queued &&
+    if (s->conf != NULL && s->n_queued + job->n_tasks > s->conf->max_queued &&
         s->conf->max_queued > 0) {
         return true;
     }
@@ -338,8 +338,8 @@
     int64_t declared_us = 0;
 
     for (uint8_t i = 0; i <= class; i++) {
-        n += s->classes[i].n;
-        declared_us += s->classes[i].declared_us;
+        n += s->queued_by_class[i].n_tasks;
+        declared_us += s->queued_by_class[i].declared_us;
     }
     return estimate_sum_us(&s->run_estimate, n, declared_us);
 }
@@ -352,7 +352,7 @@
     int64_t each =
         s->run_estimate.samples > 0 ? (int64_t)s->run_estimate.mean_us : 0;
 
-    return s->running < capacity ? 0 : each * s->running / 2;
+    return s->n_running < capacity ? 0 : each * s->n_running / 2;
 }
 
 static struct estimate
@@ -374,7 +374,7 @@
     work_us = estimate_sum_us(&s->run_estimate, job->n_tasks, declared_us);
     running = running_us(s, capacity);
     x.own = work_us / capacity;
-    x.ahead = (running + ahead_us(s, admit_class(work_us))) / capacity;
+    x.ahead = (running + ahead_us(s, admit_work_class(work_us))) / capacity;
     x.all = (running + ahead_us(s, WORK_CLASSES - 1)) / capacity;
     x.longest = estimate_mean_us(&s->run_estimate, longest_us);
     x.tail = estimate_longest_us(&s->run_estimate, job->n_tasks, longest_us);
@@ -440,7 +440,7 @@
 struct admission
 admit_job(struct entry *e, const struct job *job)
 {
-    struct service_state *s = dispatch_service(e, job->service_name);
+    struct service_state *s = dispatch_ensure_service(e, job->service_name);
     struct admission a = judge_fit(e, s, job);
 
     if (!a.admitted) {
@@ -450,7 +450,7 @@
         a = refuse(PROBLEM_OVERLOADED, REASON_QUEUE_FULL,
                    retry_after(e, USEC_PER_SEC));
         (void)snprintf(a.detail, sizeof(a.detail),
-                       "%u tasks of the service are queued here", s->queued);
+                       "%u tasks of the service are queued here", s->n_queued);
         return a;
     }
     return judge_time(e, s, job);
--- a/src/admit.h
+++ b/src/admit.h
@@ -12,18 +12,18 @@
 #include "dispatch.h"
 #include "dispatch_state.h"
 
-/** admit_class() - class of a job with that much expected work */
-uint8_t admit_class(int64_t work_us);
+/** admit_work_class() - class of a job with that much expected work */
+uint8_t admit_work_class(int64_t work_us);
 
 /** admit_capacity() - slots that the queue of a service may count on here:
  * those held or borrowed, at least an even part of the zone's, and the free
  * ones of others; at least one */
 uint32_t admit_capacity(struct entry *e, struct service_state *s);
 
-/** admit_largest() - fills in the largest sizes of the zone's upstreams, so
- * that instances of other zones can tell what fits nowhere */
-void admit_largest(const struct entry *e, const struct service_state *s,
-                   struct rec_load *load);
+/** admit_fill_largest() - fills in the largest sizes of the zone's upstreams,
+ * so that instances of other zones can tell what fits nowhere */
+void admit_fill_largest(const struct entry *e, const struct service_state *s,
+                        struct rec_load *load);
 
 /** admit_job() - see dispatch_admit() */
 struct admission admit_job(struct entry *e, const struct job *job);
--- a/src/assign.c
+++ b/src/assign.c
@@ -8,8 +8,8 @@
 static int
 compare_spread(const void *x, const void *y)
 {
-    uint64_t a = ((const struct assign_item *)x)->spread;
-    uint64_t b = ((const struct assign_item *)y)->spread;
+    uint64_t a = ((const struct assign_item *)x)->order_key;
+    uint64_t b = ((const struct assign_item *)y)->order_key;
 
     return a < b ? -1 : a > b;
 }
@@ -22,11 +22,11 @@
     for (size_t i = 0; i < n_items; i++) {
         size_t holder = items[i].holder;
 
-        if (holder != ASSIGN_NOBODY && counts[holder] < most) {
+        if (holder != ASSIGN_NONE && counts[holder] < most) {
             counts[holder]++;
         }
         else {
-            items[i].holder = ASSIGN_NOBODY;
+            items[i].holder = ASSIGN_NONE;
         }
     }
 }
@@ -56,7 +56,7 @@
     }
     keep_held(items, n_items, counts, part + part / SLACK_PART + 1);
     for (size_t i = 0; i < n_items; i++) {
-        if (items[i].holder == ASSIGN_NOBODY) {
+        if (items[i].holder == ASSIGN_NONE) {
             items[i].holder = least_loaded(counts, n_holders);
             counts[items[i].holder]++;
         }
--- a/src/assign.h
+++ b/src/assign.h
@@ -13,18 +13,18 @@
 #include <stdint.h>
 
 /* Not held, or by one that should hold nothing. */
-#define ASSIGN_NOBODY SIZE_MAX
+#define ASSIGN_NONE SIZE_MAX
 
 /**
  * struct assign_item - an upstream
- * @spread: orders upstreams alike at all brokers
- * @holder: index of who holds it now, or ASSIGN_NOBODY; then who should
- * @subject: the caller's
+ * @order_key: orders upstreams alike at all brokers
+ * @holder: index of who holds it now, or ASSIGN_NONE; then who should
+ * @context: the caller's
  */
 struct assign_item {
-    uint64_t spread;
+    uint64_t order_key;
     size_t holder;
-    void *subject;
+    void *context;
 };
 
 /** assign_holders() - sets @holder of each item to one of @n_holders, at least
--- a/src/baseline.c
+++ b/src/baseline.c
@@ -25,7 +25,7 @@
 
     switch (p) {
     case POLICY_SPARING:
-        o.entry.spare_messages = true;
+        o.entry.fewer_messages = true;
         break;
     case POLICY_DIRECT:
         o.entry.placement = PLACE_DIRECT;
--- a/src/bm_entry.c
+++ b/src/bm_entry.c
@@ -115,10 +115,10 @@
     if (s == NULL) {
         return DAEMON_EXIT_SETTINGS;
     }
-    if (s->services != NULL) {
-        config = load_services(s->services);
+    if (s->services_dir != NULL) {
+        config = load_services(s->services_dir);
     }
-    if (s->services != NULL && config == NULL) {
+    if (s->services_dir != NULL && config == NULL) {
         code = DAEMON_EXIT_SETTINGS;
     }
     else if (a->common.check) {
--- a/src/borrow.c
+++ b/src/borrow.c
@@ -158,7 +158,7 @@
     struct msg m = {.kind = MSG_SLOT_REQUEST};
     struct rec_slot_request *r = &m.u.slot_request;
 
-    r->request = entry_new_call(e);
+    r->request = entry_new_call_id(e);
     r->wait = l->free == 0 ? 1 : 0;
     if (r->wait != 0) {
         l->waits_us = e->now.mono_us + WAIT_US;
@@ -177,7 +177,7 @@
     r->accelerators = need.accelerators;
     r->waited_us = (uint64_t)(e->now.mono_us - q->submitted_us);
     r->handicap_us = (uint64_t)(q->rank_us - q->submitted_us);
-    r->first = q->n;
+    r->first = q->n_tasks;
     entry_send(e, l->member->name, &m);
 }
 
@@ -246,7 +246,7 @@
             uint32_t count)
 {
     struct borrowing *b = s->borrowing;
-    bool far = may_spill(s) && !e->opts.spare_messages;
+    bool far = may_spill(s) && !e->opts.fewer_messages;
 
     for (size_t i = 0; i < b->n_lenders; i++) {
         struct lender *l = &b->lenders[i];
@@ -260,7 +260,7 @@
 static int64_t
 pause_us(const struct entry *e, int64_t us)
 {
-    return e->opts.spare_messages ? us * SPARE_TIMES : us;
+    return e->opts.fewer_messages ? us * SPARE_TIMES : us;
 }
 
 /** borrow_stop() - withdraws what holders still remember: otherwise each would
@@ -298,9 +298,9 @@
 first_need(struct entry *e, const struct service_state *s)
 {
     const struct queued *q = queue_first(&s->queue);
-    const struct job *job = jobs_of(e, q->job);
+    const struct job *job = jobs_by_handle(e, q->job);
 
-    return job->tasks[q->tasks[q->n - 1]].need;
+    return job->tasks[q->tasks[q->n_tasks - 1]].need;
 }
 
 /** waiting_us() - how long the queue has to wait for our own slots: what they
@@ -310,7 +310,7 @@
 waiting_us(const struct entry *e, const struct service_state *s,
            uint32_t wanted)
 {
-    uint32_t slots = s->running > 0 ? s->running : 1;
+    uint32_t slots = s->n_running > 0 ? s->n_running : 1;
     int64_t waited = e->now.mono_us - s->borrowing->blocked_us;
     int64_t clear = (int64_t)s->run_estimate.mean_us * wanted / slots;
 
@@ -325,7 +325,7 @@
 {
     struct borrowing *b = borrowing_of(e, s);
     uint32_t on_order = freshen(e, s);
-    uint32_t wanted = at_most(s->queued, SLOT_REQUEST_MAX);
+    uint32_t wanted = at_most(s->n_queued, SLOT_REQUEST_MAX);
     struct resources need;
 
     b->next_us = e->now.mono_us + pause_us(e, ASK_WORTH_US);
@@ -397,7 +397,7 @@
 int64_t
 borrow_next_us(const struct service_state *s)
 {
-    if (s->borrowing == NULL || s->queued == 0) {
+    if (s->borrowing == NULL || s->n_queued == 0) {
         return INT64_MAX;
     }
     return s->borrowing->next_us;
@@ -472,7 +472,7 @@
                             .first = (uint32_t)r->first,
                             .rank_us = rank_us + (int64_t)r->handicap_us,
                             .ends_us = e->now.mono_us + WAIT_US};
-    dispatch_wake(e, s);
+    dispatch_mark_dirty(e, s);
 }
 
 void
@@ -544,19 +544,19 @@
     struct borrowing *b = s->borrowing;
     size_t n = b != NULL ? b->n_waits : 0;
 
-    if (n == 0 || s->pool.own_free == 0) {
+    if (n == 0 || s->pool.own_free_slots == 0) {
         return;
     }
     if (b->serve_us > e->now.mono_us) {
-        dispatch_wake_at(e, b->serve_us);
+        dispatch_run_at(e, b->serve_us);
         return;
     }
     b->serve_us = e->now.mono_us + pause_us(e, BATCH_US);
     expire_waits(e, b);
-    while (n-- > 0 && s->pool.own_free > 0) {
+    while (n-- > 0 && s->pool.own_free_slots > 0) {
         struct slot_wait *w = first_wait(b);
 
-        if (w == NULL || !lend_to(e, s, w, s->pool.own_free)) {
+        if (w == NULL || !lend_to(e, s, w, s->pool.own_free_slots)) {
             break;
         }
     }
@@ -568,7 +568,7 @@
     struct borrowing *b = s->borrowing;
     struct slot_wait *w;
 
-    if (b == NULL || b->n_waits == 0 || s->pool.own_free == 0) {
+    if (b == NULL || b->n_waits == 0 || s->pool.own_free_slots == 0) {
         return false;
     }
     expire_waits(e, b);
@@ -577,13 +577,13 @@
         w->rank_us + RANK_MARGIN_US > rank_us) {
         return false;
     }
-    return lend_to(e, s, w, at_most(w->first, s->pool.own_free));
+    return lend_to(e, s, w, at_most(w->first, s->pool.own_free_slots));
 }
 
 bool
 borrow_wanted(const struct service_state *s)
 {
-    return s->queued > 0 ||
+    return s->n_queued > 0 ||
            (s->borrowing != NULL && s->borrowing->n_waits > 0);
 }
 
--- a/src/broker_hold.c
+++ b/src/broker_hold.c
@@ -492,7 +492,7 @@
     }
 }
 
-/* Index among those that should hold any, or ASSIGN_NOBODY. */
+/* Index among those that should hold any, or ASSIGN_NONE. */
 static size_t
 holder_index(const struct broker *b, const struct broker_upstream *u)
 {
@@ -503,7 +503,7 @@
             return i;
         }
     }
-    return ASSIGN_NOBODY;
+    return ASSIGN_NONE;
 }
 
 /* The upstreams of this zone; returns how many there are. */
@@ -523,9 +523,9 @@
             review_one(b, u, false);
             continue;
         }
-        items[n].spread = u->hash;
+        items[n].order_key = u->hash;
         items[n].holder = holder_index(b, u);
-        items[n++].subject = u;
+        items[n++].context = u;
     }
     return n;
 }
@@ -551,7 +551,7 @@
         assign_holders(items, n, b->n_holders);
     }
     for (size_t i = 0; i < n; i++) {
-        review_one(b, items[i].subject, is_self(b, items[i].holder));
+        review_one(b, items[i].context, is_self(b, items[i].holder));
     }
     free(items);
 }
--- a/src/claim.c
+++ b/src/claim.c
@@ -56,11 +56,11 @@
         abort();
     }
     table_init(&c->records, sizeof(struct claim));
-    map_init(&c->by_key, MAP_KEY_ID);
+    map_init(&c->records_by_key, MAP_KEY_ID);
     table_init(&c->attempts, sizeof(struct attempt));
-    map_init(&c->by_number, MAP_U64);
+    map_init(&c->attempts_by_number, MAP_U64);
     for (size_t i = 0; i < n; i++) {
-        vote_init(e, &c->votings[i], zones[i]);
+        vote_init(e, &c->zone_voters[i], zones[i]);
     }
     return c;
 }
@@ -72,9 +72,9 @@
         return;
     }
     table_clear(&c->records);
-    map_clear(&c->by_key);
+    map_clear(&c->records_by_key);
     table_clear(&c->attempts);
-    map_clear(&c->by_number);
+    map_clear(&c->attempts_by_number);
     timers_clear(&c->timers);
     free(c);
 }
@@ -128,7 +128,7 @@
     struct handle h;
     struct attempt *a = table_add(&e->claims->attempts, &h);
 
-    a->number = entry_new_call(e);
+    a->number = entry_new_call_id(e);
     a->self = h;
     a->job = job;
     a->key = *key;
@@ -138,7 +138,7 @@
         a->asks[i].voter = voters[(i + key->id.lo) % n];
     }
     sort_asks(e, a);
-    map_put(&e->claims->by_number, a);
+    map_put(&e->claims->attempts_by_number, a);
     return a;
 }
 
@@ -147,7 +147,7 @@
 {
     struct handle job = a->job;
 
-    (void)map_remove(&e->claims->by_number, &a->number);
+    (void)map_remove(&e->claims->attempts_by_number, &a->number);
     table_remove(&e->claims->attempts, a->self);
     jobs_claim_result(e, job, r);
 }
@@ -413,13 +413,13 @@
 }
 
 static void
-end_plain(struct entry *e, struct attempt *a, enum claim_end end)
+end_plain(struct entry *e, struct attempt *a, enum claim_outcome end)
 {
-    struct claim_result r = {.end = end};
+    struct claim_result r = {.outcome = end};
 
-    e->counters.claims_won += end == CLAIM_END_WON ? 1 : 0;
-    e->counters.claims_unavailable += end == CLAIM_END_UNAVAILABLE ? 1 : 0;
-    if (end == CLAIM_END_WON || end == CLAIM_END_ABSENT) {
+    e->counters.claims_won += end == CLAIM_OUTCOME_WON ? 1 : 0;
+    e->counters.claims_unavailable += end == CLAIM_OUTCOME_UNAVAILABLE ? 1 : 0;
+    if (end == CLAIM_OUTCOME_WON || end == CLAIM_OUTCOME_ABSENT) {
         attempt_end(e, a, &r);
         return;
     }
@@ -430,7 +430,7 @@
 end_other(struct entry *e, struct attempt *a, const struct ask *k)
 {
     struct claim_result r = {
-        .end = CLAIM_END_OTHER,
+        .outcome = CLAIM_OUTCOME_TAKEN,
         .claimer = members_at(e, k->claimer)->name,
         .incarnation = k->incarnation,
         .digest = k->digest,
@@ -447,7 +447,7 @@
         end_other(e, a, t->other);
         return;
     }
-    end_plain(e, a, CLAIM_END_UNAVAILABLE);
+    end_plain(e, a, CLAIM_OUTCOME_UNAVAILABLE);
 }
 
 /* Nobody has a majority among the voters that replied.  Of two claimers the
@@ -480,10 +480,10 @@
              size_t majority)
 {
     if (t->too_old) {
-        end_plain(e, a, CLAIM_END_TOO_OLD);
+        end_plain(e, a, CLAIM_OUTCOME_TOO_OLD);
     }
     else if (t->grants >= majority) {
-        end_plain(e, a, CLAIM_END_WON);
+        end_plain(e, a, CLAIM_OUTCOME_WON);
     }
     else if (t->other_votes >= majority) {
         end_other(e, a, t->other);
@@ -502,7 +502,7 @@
         end_other(e, a, t->other);
     }
     else if (t->none >= majority) {
-        end_plain(e, a, CLAIM_END_ABSENT);
+        end_plain(e, a, CLAIM_OUTCOME_ABSENT);
     }
     else {
         return false;
@@ -515,7 +515,7 @@
 static bool
 attempt_over(const struct entry *e, const struct attempt *a)
 {
-    return jobs_of(e, a->job) == NULL ||
+    return jobs_by_handle(e, a->job) == NULL ||
            e->now.mono_us - a->begun_us >
                LIFE_TIMEOUTS * e->opts.claim_timeout_us;
 }
@@ -539,7 +539,7 @@
 
     for (;;) {
         if (attempt_over(e, a)) {
-            end_plain(e, a, CLAIM_END_UNAVAILABLE);
+            end_plain(e, a, CLAIM_OUTCOME_UNAVAILABLE);
             return;
         }
         t = tally_of(e, a);
@@ -560,7 +560,7 @@
 static void
 attempt_begin(struct entry *e, struct attempt *a)
 {
-    vote_note_start(e);
+    vote_set_start_time(e);
     attempt_due(e, a, e->opts.claim_timeout_us);
     attempt_step(e, a);
 }
@@ -590,7 +590,7 @@
 void
 claims_release(struct entry *e, const struct key_ref *key)
 {
-    release_everywhere(e, key, e->last_call);
+    release_everywhere(e, key, e->last_call_id);
 }
 
 static void
@@ -636,7 +636,7 @@
 {
     struct key_ref key = {.id = r->key, .zone = r->zone};
 
-    if (r->verdict == CLAIM_GRANTED && !jobs_claimed(e, r->key)) {
+    if (r->verdict == CLAIM_GRANTED && !jobs_holds_key(e, r->key)) {
         send_release(e, from, &key, r->attempt);
     }
 }
@@ -644,7 +644,7 @@
 static bool
 on_reply(struct entry *e, struct name from, const struct rec_claim_reply *r)
 {
-    struct attempt *a = map_get(&e->claims->by_number, &r->attempt);
+    struct attempt *a = map_get(&e->claims->attempts_by_number, &r->attempt);
 
     if (a == NULL) {
         late_reply(e, from, r);
@@ -684,8 +684,8 @@
 void
 claims_member_up(struct entry *e, struct name member)
 {
-    vote_note_start(e);
-    sync_member_up(e, member);
+    vote_set_start_time(e);
+    claim_sync_member_up(e, member);
 }
 
 void
@@ -693,7 +693,7 @@
 {
     bool sense = false;
 
-    vote_note_start(e);
+    vote_set_start_time(e);
     switch (m->kind) {
     case MSG_CLAIM:
         sense = on_claim(e, from, &m->u.claim);
@@ -708,10 +708,10 @@
         sense = on_find(e, from, &m->u.claim_find);
         break;
     case MSG_SYNC_REQUEST:
-        sense = sync_on_request(e, from, &m->u.sync_request);
+        sense = claim_sync_on_request(e, from, &m->u.sync_request);
         break;
     case MSG_SYNC_REPLY:
-        sense = sync_on_reply(e, from, &m->u.sync_reply);
+        sense = claim_sync_on_reply(e, from, &m->u.sync_reply);
         break;
     default:
         break;
@@ -729,7 +729,7 @@
     struct claims *c = e->claims;
     struct handle h;
 
-    vote_note_start(e);
+    vote_set_start_time(e);
     while (timers_pop(&c->timers, e->now.mono_us, &h)) {
         struct attempt *a = table_get(&c->attempts, h);
 
@@ -737,8 +737,8 @@
             attempt_timeout(e, a);
         }
     }
-    if (e->now.mono_us >= c->sync_due_us && sync_needed(e)) {
-        sync_tick(e);
+    if (e->now.mono_us >= c->sync_due_us && claim_sync_needed(e)) {
+        claim_sync_tick(e);
     }
     if (e->now.mono_us >= c->sweep_due_us) {
         vote_sweep(e);
@@ -751,7 +751,7 @@
     const struct claims *c = e->claims;
     int64_t next = timers_next_us(&c->timers);
 
-    if (c->started && sync_needed(e) && c->sync_due_us < next) {
+    if (c->started && claim_sync_needed(e) && c->sync_due_us < next) {
         next = c->sync_due_us;
     }
     if (c->started && c->records.n > 0 && c->sweep_due_us < next) {
--- a/src/claim.h
+++ b/src/claim.h
@@ -13,16 +13,16 @@
 #include "entry_state.h"
 #include "key.h"
 
-enum claim_end {
-    CLAIM_END_WON,
-    CLAIM_END_OTHER,       /* claimed by the instance named */
-    CLAIM_END_ABSENT,      /* find: a majority has no record */
-    CLAIM_END_UNAVAILABLE, /* no majority; released, never to be used */
-    CLAIM_END_TOO_OLD,
+enum claim_outcome {
+    CLAIM_OUTCOME_WON,
+    CLAIM_OUTCOME_TAKEN,       /* claimed by the instance named */
+    CLAIM_OUTCOME_ABSENT,      /* find: a majority has no record */
+    CLAIM_OUTCOME_UNAVAILABLE, /* no majority; released, never to be used */
+    CLAIM_OUTCOME_TOO_OLD,
 };
 
 struct claim_result {
-    enum claim_end end;
+    enum claim_outcome outcome;
     struct name claimer;
     uint64_t incarnation;
     uint64_t digest;
@@ -56,12 +56,12 @@
 size_t claims_count(const struct entry *e);
 size_t claims_bytes(const struct entry *e);
 
-/** claims_record() - who has the key as far as this voter knows; false where
+/** claims_lookup() - who has the key as far as this voter knows; false where
  * it has no record */
-bool claims_record(const struct entry *e, struct key_id id,
+bool claims_lookup(const struct entry *e, struct key_id id,
                    struct claim_result *out);
 
-/** claims_voting() - whether this voter of @zone knows all live claims */
-bool claims_voting(const struct entry *e, struct name zone);
+/** claims_voter_ready() - whether this voter of @zone knows all live claims */
+bool claims_voter_ready(const struct entry *e, struct name zone);
 
 #endif
--- a/src/claim_sync.c
+++ b/src/claim_sync.c
@@ -11,25 +11,25 @@
     SYNC_TIMEOUTS = 4, /* between requests, in claim timeouts */
 };
 
-static struct fellow *
+static struct peer_voter *
 fellow_of(struct voting *v, struct name name)
 {
-    for (size_t i = 0; v != NULL && i < v->n_fellows; i++) {
-        if (name_equal(v->fellows[i].name, name)) {
-            return &v->fellows[i];
+    for (size_t i = 0; v != NULL && i < v->n_peers; i++) {
+        if (name_equal(v->peers[i].name, name)) {
+            return &v->peers[i];
         }
     }
     return NULL;
 }
 
 static void
-request_page(struct entry *e, struct name zone, const struct fellow *f)
+request_page(struct entry *e, struct name zone, const struct peer_voter *f)
 {
     struct msg m = {.kind = MSG_SYNC_REQUEST};
 
     m.u.sync_request.zone = zone;
     m.u.sync_request.incarnation = e->opts.incarnation;
-    m.u.sync_request.page = f->page;
+    m.u.sync_request.page = f->next_page;
     entry_send(e, f->name, &m);
 }
 
@@ -44,7 +44,7 @@
     to->attempt = r->attempt;
     to->incarnation = r->incarnation;
     if (!r->contested) {
-        to->claimer = members_at(e, r->claimer)->name;
+        to->claimer = members_at(e, r->claimer_index)->name;
     }
 }
 
@@ -66,7 +66,7 @@
         abort();
     }
     while ((r = table_next(t, &at, &h)) != NULL && h.index <= end) {
-        if (r->zone == zone && r->expires_us > e->now.wall_us) {
+        if (r->zone_index == zone && r->expires_us > e->now.wall_us) {
             copy_record(e, r, &reply->claims[reply->n_claims++]);
         }
     }
@@ -74,10 +74,10 @@
 }
 
 bool
-sync_on_request(struct entry *e, struct name from,
-                const struct rec_sync_request *m)
+claim_sync_on_request(struct entry *e, struct name from,
+                      const struct rec_sync_request *m)
 {
-    struct voting *v = vote_zone(e, m->zone);
+    struct voting *v = vote_zone_voter(e, m->zone);
     struct member *asker = members_of(e, from);
     struct msg reply = {.kind = MSG_SYNC_REPLY};
     struct rec_sync_reply *r = &reply.u.sync_reply;
@@ -93,7 +93,7 @@
     r->ready = v->ready ? 1 : 0;
     r->page = m->page;
     if (v->ready) {
-        fill_page(e, vote_zone_number(e, m->zone), r);
+        fill_page(e, vote_zone_index(e, m->zone), r);
     }
     entry_send(e, from, &reply);
     return true;
@@ -110,7 +110,7 @@
     if (!r->copied) {
         return; /* our own vote stands above what others tell */
     }
-    if (contested || r->claimer != claimer ||
+    if (contested || r->claimer_index != claimer ||
         r->incarnation != c->incarnation) {
         r->contested = 1;
         return;
@@ -128,24 +128,24 @@
     bool contested = name_empty(c->claimer);
     const struct member *m = members_of(e, c->claimer);
     uint16_t claimer = m != NULL ? members_index(e, m) : 0;
-    int64_t longest = vote_record_expiry(e, 0) + 2 * e->opts.clock_skew_us;
+    int64_t longest = vote_record_expiry_us(e, 0) + 2 * e->opts.clock_skew_us;
     struct claim *r;
 
     if ((m == NULL && !contested) || c->purpose > CLAIM_CANCEL ||
         c->expires_us > (uint64_t)longest) {
         return false;
     }
-    r = vote_record(e, c->key);
+    r = vote_find_record(e, c->key);
     if (r != NULL) {
         merge_copy(r, c, claimer, contested);
         return true;
     }
-    r = vote_record_add(e, c->key, zone);
+    r = vote_add_record(e, c->key, zone);
     r->digest = c->digest;
     r->attempt = c->attempt;
     r->incarnation = c->incarnation;
     r->expires_us = (int64_t)c->expires_us;
-    r->claimer = claimer;
+    r->claimer_index = claimer;
     r->purpose = c->purpose;
     r->copied = 1;
     r->contested = contested ? 1 : 0;
@@ -161,11 +161,11 @@
 }
 
 static void
-fellow_done(struct entry *e, struct voting *v, struct fellow *f)
+fellow_done(struct entry *e, struct voting *v, struct peer_voter *f)
 {
-    f->done = true;
-    for (size_t i = 0; i < v->n_fellows; i++) {
-        if (!v->fellows[i].done) {
+    f->synced = true;
+    for (size_t i = 0; i < v->n_peers; i++) {
+        if (!v->peers[i].synced) {
             return;
         }
     }
@@ -175,22 +175,22 @@
 /* Pages count only within one incarnation of the sender: a later one may have
  * lost what the pages before told. */
 static bool
-page_expected(struct fellow *f, const struct rec_sync_reply *m)
+page_expected(struct peer_voter *f, const struct rec_sync_reply *m)
 {
     if (m->incarnation != f->incarnation) {
         f->incarnation = m->incarnation;
-        f->page = 0;
-        f->done = false;
+        f->next_page = 0;
+        f->synced = false;
     }
-    return m->page == f->page && !f->done;
+    return m->page == f->next_page && !f->synced;
 }
 
 bool
-sync_on_reply(struct entry *e, struct name from,
-              const struct rec_sync_reply *m)
+claim_sync_on_reply(struct entry *e, struct name from,
+                    const struct rec_sync_reply *m)
 {
-    struct voting *v = vote_zone(e, m->zone);
-    struct fellow *f = fellow_of(v, from);
+    struct voting *v = vote_zone_voter(e, m->zone);
+    struct peer_voter *f = fellow_of(v, from);
     bool sense = true;
 
     if (f == NULL || !members_met(e, members_of(e, from), m->incarnation)) {
@@ -202,10 +202,10 @@
     }
     for (size_t i = 0; i < m->n_claims; i++) {
         sense =
-            take_copy(e, vote_zone_number(e, m->zone), &m->claims[i]) && sense;
+            take_copy(e, vote_zone_index(e, m->zone), &m->claims[i]) && sense;
     }
     if (m->more != 0) {
-        f->page++;
+        f->next_page++;
         request_page(e, m->zone, f);
     }
     else if (sense) {
@@ -217,10 +217,10 @@
 static void
 request_pages(struct entry *e, struct name zone, struct voting *v)
 {
-    for (size_t i = 0; i < v->n_fellows; i++) {
-        struct fellow *f = &v->fellows[i];
+    for (size_t i = 0; i < v->n_peers; i++) {
+        struct peer_voter *f = &v->peers[i];
 
-        if (!f->done && members_of(e, f->name)->up) {
+        if (!f->synced && members_of(e, f->name)->up) {
             request_page(e, zone, f);
         }
     }
@@ -235,13 +235,14 @@
 }
 
 bool
-sync_needed(const struct entry *e)
+claim_sync_needed(const struct entry *e)
 {
     size_t n;
 
     (void)members_zones(e, &n);
     for (size_t i = 0; i < n; i++) {
-        if (e->claims->votings[i].voter && !e->claims->votings[i].ready) {
+        if (e->claims->zone_voters[i].is_voter &&
+            !e->claims->zone_voters[i].ready) {
             return true;
         }
     }
@@ -249,16 +250,16 @@
 }
 
 void
-sync_tick(struct entry *e)
+claim_sync_tick(struct entry *e)
 {
     size_t n;
     const struct name *zones = members_zones(e, &n);
     bool over = e->now.mono_us >= window_over_us(e);
 
     for (size_t i = 0; i < n; i++) {
-        struct voting *v = &e->claims->votings[i];
+        struct voting *v = &e->claims->zone_voters[i];
 
-        if (!v->voter || v->ready) {
+        if (!v->is_voter || v->ready) {
             continue;
         }
         if (over) {
@@ -272,16 +273,16 @@
 }
 
 void
-sync_member_up(struct entry *e, struct name member)
+claim_sync_member_up(struct entry *e, struct name member)
 {
     size_t n;
     const struct name *zones = members_zones(e, &n);
 
     for (size_t i = 0; i < n; i++) {
-        struct voting *v = &e->claims->votings[i];
-        struct fellow *f = fellow_of(v, member);
+        struct voting *v = &e->claims->zone_voters[i];
+        struct peer_voter *f = fellow_of(v, member);
 
-        if (v->voter && !v->ready && f != NULL && !f->done) {
+        if (v->is_voter && !v->ready && f != NULL && !f->synced) {
             request_page(e, zones[i], f);
         }
     }
--- a/src/claim_sync.h
+++ b/src/claim_sync.h
@@ -9,21 +9,22 @@
 
 #include "claim_state.h"
 
-/** sync_on_request() - false where the message makes no sense */
-bool sync_on_request(struct entry *e, struct name from,
-                     const struct rec_sync_request *m);
+/** claim_sync_on_request() - false where the message makes no sense */
+bool claim_sync_on_request(struct entry *e, struct name from,
+                           const struct rec_sync_request *m);
 
-/** sync_on_reply() - false where the message makes no sense */
-bool sync_on_reply(struct entry *e, struct name from,
-                   const struct rec_sync_reply *m);
+/** claim_sync_on_reply() - false where the message makes no sense */
+bool claim_sync_on_reply(struct entry *e, struct name from,
+                         const struct rec_sync_reply *m);
 
-/** sync_member_up() - asks a fellow voter that came, where it is needed */
-void sync_member_up(struct entry *e, struct name member);
+/** claim_sync_member_up() - asks a fellow voter that came, where it is needed
+ */
+void claim_sync_member_up(struct entry *e, struct name member);
 
-/** sync_needed() - whether this voter lacks claims of any zone */
-bool sync_needed(const struct entry *e);
+/** claim_sync_needed() - whether this voter lacks claims of any zone */
+bool claim_sync_needed(const struct entry *e);
 
-/** sync_tick() - asks again, or finds that the window has passed */
-void sync_tick(struct entry *e);
+/** claim_sync_tick() - asks again, or finds that the window has passed */
+void claim_sync_tick(struct entry *e);
 
 #endif
--- a/src/dispatch.c
+++ b/src/dispatch.c
@@ -35,9 +35,9 @@
     d->starts = starts_new();
     d->quotas = quotas_new();
     d->lends = lends_new();
-    d->unblock_us = INT64_MAX;
+    d->next_recheck_us = INT64_MAX;
     d->retry_tokens = TOKENS_START;
-    d->sweep_at = SERVICES_START;
+    d->sweep_threshold = SERVICES_START;
     return d;
 }
 
@@ -70,7 +70,7 @@
 /* Services */
 
 struct service_state *
-dispatch_find(const struct entry *e, struct name name)
+dispatch_find_service(const struct entry *e, struct name name)
 {
     return map_get(&e->dispatch->by_name, &name);
 }
@@ -83,16 +83,16 @@
 }
 
 struct service_state *
-dispatch_service(struct entry *e, struct name name)
+dispatch_ensure_service(struct entry *e, struct name name)
 {
     struct dispatch *d = e->dispatch;
-    struct service_state *s = dispatch_find(e, name);
+    struct service_state *s = dispatch_find_service(e, name);
 
     if (s != NULL) {
         return s;
     }
     s = calloc(1, sizeof(*s));
-    d->services = array_grow((void *)d->services, d->n_services, &d->room,
+    d->services = array_grow((void *)d->services, d->n_services, &d->capacity,
                              sizeof(struct service_state *));
     if (s == NULL) {
         abort();
@@ -108,8 +108,8 @@
 static bool
 in_use(const struct entry *e, const struct service_state *s)
 {
-    return s->conf != NULL || s->upstreams > 0 || s->jobs > 0 ||
-           s->running > 0 || s->pool.n > 0 || borrow_busy(e, s);
+    return s->conf != NULL || s->n_upstreams > 0 || s->n_jobs > 0 ||
+           s->n_running > 0 || s->pool.n_places > 0 || borrow_busy(e, s);
 }
 
 /** sweep() - upstreams and other instances name services as they like, and
@@ -122,7 +122,7 @@
     struct dispatch *d = e->dispatch;
     size_t kept = 0;
 
-    if (d->n_services < d->sweep_at) {
+    if (d->n_services < d->sweep_threshold) {
         return;
     }
     for (size_t i = 0; i < d->n_services; i++) {
@@ -137,39 +137,39 @@
         }
     }
     d->n_services = kept;
-    d->sweep_at = kept > SERVICES_START / 2 ? 2 * kept : SERVICES_START;
+    d->sweep_threshold = kept > SERVICES_START / 2 ? 2 * kept : SERVICES_START;
 }
 
 bool
-dispatch_room_for(const struct entry *e, struct name service)
+dispatch_accepts_service(const struct entry *e, struct name service)
 {
     const struct dispatch *d = e->dispatch;
-    const struct service_state *s = dispatch_find(e, service);
+    const struct service_state *s = dispatch_find_service(e, service);
     size_t unknown = 0;
 
-    if ((s != NULL && s->upstreams > 0) ||
+    if ((s != NULL && s->n_upstreams > 0) ||
         config_service(e->config, service) != NULL) {
         return true;
     }
     for (size_t i = 0; i < d->n_services; i++) {
         s = d->services[i];
-        unknown += s->conf == NULL && s->upstreams > 0 ? 1 : 0;
+        unknown += s->conf == NULL && s->n_upstreams > 0 ? 1 : 0;
     }
-    return unknown < UNKNOWN_SERVICES_MAX;
+    return unknown < UNCONFIGURED_SERVICES_MAX;
 }
 
 void
-dispatch_wake(struct entry *e, struct service_state *s)
+dispatch_mark_dirty(struct entry *e, struct service_state *s)
 {
     s->dirty = true;
     e->dispatch->dirty = true;
 }
 
 void
-dispatch_wake_at(struct entry *e, int64_t us)
+dispatch_run_at(struct entry *e, int64_t us)
 {
-    if (us < e->dispatch->unblock_us) {
-        e->dispatch->unblock_us = us;
+    if (us < e->dispatch->next_recheck_us) {
+        e->dispatch->next_recheck_us = us;
     }
 }
 
@@ -180,7 +180,7 @@
 
     for (size_t i = 0; i < d->n_services; i++) {
         read_conf(e, d->services[i]);
-        dispatch_wake(e, d->services[i]);
+        dispatch_mark_dirty(e, d->services[i]);
     }
     quotas_config(e);
 }
@@ -190,7 +190,8 @@
 static void
 rank(struct entry *e, struct service_state *s, struct queued *q)
 {
-    int64_t work_us = estimate_sum_us(&s->run_estimate, q->n, q->declared_us);
+    int64_t work_us =
+        estimate_sum_us(&s->run_estimate, q->n_tasks, q->declared_us);
 
     q->rank_us = queue_rank_us(s->order, q, work_us / admit_capacity(e, s));
 }
@@ -200,24 +201,24 @@
              int64_t declared_us)
 {
     struct service_state *s = q->service;
-    struct class_work *c = &s->classes[q->class];
+    struct class_work *c = &s->queued_by_class[q->work_class];
 
-    q->n += (uint32_t)n;
+    q->n_tasks += (uint32_t)n;
     q->declared_us += declared_us;
-    c->n += (uint32_t)n;
+    c->n_tasks += (uint32_t)n;
     c->declared_us += declared_us;
-    s->queued += (uint32_t)n;
+    s->n_queued += (uint32_t)n;
     job->n_queued += (uint32_t)n;
-    e->dispatch->queued += (uint32_t)n;
+    e->dispatch->n_queued += (uint32_t)n;
 }
 
 static void
 put_task(struct entry *e, struct job *job, uint32_t index)
 {
-    struct queued *q = job->queue_place;
+    struct queued *q = job->queue_entry;
 
     job->tasks[index].phase = TASK_QUEUED;
-    q->tasks[q->n] = (uint8_t)index;
+    q->tasks[q->n_tasks] = (uint8_t)index;
     count_queued(e, job, q, 1, job->tasks[index].run_us);
 }
 
@@ -225,8 +226,8 @@
 static uint32_t
 take_task(struct entry *e, struct job *job)
 {
-    struct queued *q = job->queue_place;
-    uint32_t index = q->tasks[q->n - 1];
+    struct queued *q = job->queue_entry;
+    uint32_t index = q->tasks[q->n_tasks - 1];
 
     count_queued(e, job, q, -1, -job->tasks[index].run_us);
     return index;
@@ -247,11 +248,11 @@
     q->job = job->self;
     q->service = s;
     q->submitted_us = job->submitted_us;
-    q->limit_us = job->deadline_us - job->submitted_us;
-    q->class = admit_class(
+    q->time_limit_us = job->deadline_us - job->submitted_us;
+    q->work_class = admit_work_class(
         estimate_sum_us(&s->run_estimate, job->n_tasks, declared_us));
-    job->queue_place = q;
-    s->jobs++;
+    job->queue_entry = q;
+    s->n_jobs++;
     (void)e;
     return q;
 }
@@ -259,13 +260,13 @@
 static void
 release_queued(struct job *job)
 {
-    struct queued *q = job->queue_place;
+    struct queued *q = job->queue_entry;
 
     if (q != NULL) {
         queue_remove(&q->service->queue, q);
-        q->service->jobs--;
+        q->service->n_jobs--;
         free(q);
-        job->queue_place = NULL;
+        job->queue_entry = NULL;
     }
 }
 
@@ -275,7 +276,7 @@
 static void
 sort_longest_last(const struct job *job, struct queued *q)
 {
-    for (uint32_t i = 1; i < q->n; i++) {
+    for (uint32_t i = 1; i < q->n_tasks; i++) {
         uint8_t index = q->tasks[i];
         uint32_t at = i;
 
@@ -291,7 +292,7 @@
 void
 dispatch_enqueue(struct entry *e, struct job *job)
 {
-    struct service_state *s = dispatch_service(e, job->service_name);
+    struct service_state *s = dispatch_ensure_service(e, job->service_name);
     struct queued *q = new_queued(e, job, s);
 
     for (uint32_t i = job->n_tasks; i > 0; i--) {
@@ -302,13 +303,13 @@
     sort_longest_last(job, q);
     rank(e, s, q);
     queue_put(&s->queue, q);
-    dispatch_wake(e, s);
+    dispatch_mark_dirty(e, s);
 }
 
 void
-dispatch_forget(struct entry *e, struct job *job)
+dispatch_drop_job(struct entry *e, struct job *job)
 {
-    struct queued *q = job->queue_place;
+    struct queued *q = job->queue_entry;
 
     for (uint32_t i = 0; i < job->n_tasks; i++) {
         struct task *t = &job->tasks[i];
@@ -319,7 +320,7 @@
         }
     }
     if (q != NULL) {
-        count_queued(e, job, q, -(int)q->n, -q->declared_us);
+        count_queued(e, job, q, -(int)q->n_tasks, -q->declared_us);
     }
     job->n_sent = 0;
     release_queued(job);
@@ -342,7 +343,7 @@
                  bool charged)
 {
     struct dispatch *d = e->dispatch;
-    struct queued *q = job->queue_place;
+    struct queued *q = job->queue_entry;
 
     put_task(e, job, index);
     if (charged &&
@@ -357,7 +358,7 @@
     e->counters.tasks_requeued++;
     rank(e, q->service, q);
     queue_put(&q->service->queue, q);
-    dispatch_wake(e, q->service);
+    dispatch_mark_dirty(e, q->service);
 }
 
 static void
@@ -380,7 +381,9 @@
 {
     uint32_t index = take_task(e, job);
 
-    q->racks = (q->racks & p->rack) != 0 ? p->rack : q->racks | p->rack;
+    q->rack_bits = (q->rack_bits & p->rack_bit) != 0
+                       ? p->rack_bit
+                       : q->rack_bits | p->rack_bit;
     quotas_started(e, q->service);
     starts_send(e, job, index, p);
     earn_token(e);
@@ -390,12 +393,13 @@
 static enum served
 serve_job(struct entry *e, struct service_state *s, struct queued *q)
 {
-    struct job *job = jobs_of(e, q->job);
+    struct job *job = jobs_by_handle(e, q->job);
 
-    while (q->n > 0) {
-        struct task *t = &job->tasks[q->tasks[q->n - 1]];
-        struct pick pick = {
-            .need = t->need, .racks = q->racks, .idempotent = job->idempotent};
+    while (q->n_tasks > 0) {
+        struct task *t = &job->tasks[q->tasks[q->n_tasks - 1]];
+        struct pick pick = {.need = t->need,
+                            .rack_bits = q->rack_bits,
+                            .idempotent = job->idempotent};
         struct place *p;
 
         if (!quotas_allow(e, s)) {
@@ -424,14 +428,14 @@
     while (n_aside < ASIDE_MAX && (q = queue_first(&s->queue)) != NULL) {
         while (borrow_before(e, s, q->rank_us)) {
         }
-        end = s->pool.n_listed > 0 ? serve_job(e, s, q) : NO_PLACE;
-        if (end == NO_QUOTA || s->pool.n_listed == 0) {
-            if (q->n > 0) {
+        end = s->pool.n_available > 0 ? serve_job(e, s, q) : NO_PLACE;
+        if (end == NO_QUOTA || s->pool.n_available == 0) {
+            if (q->n_tasks > 0) {
                 break;
             }
         }
         queue_remove(&s->queue, q);
-        if (q->n > 0) {
+        if (q->n_tasks > 0) {
             aside[n_aside++] = q;
         }
     }
@@ -450,15 +454,15 @@
     if (e->opts.placement != PLACE_HOLDER) {
         return;
     }
-    if (s->queued == 0) {
+    if (s->n_queued == 0) {
         borrow_stop(e, s);
         borrow_serve(e, s);
     }
     else if (end != NO_QUOTA) {
         borrow_ask(e, s);
-        dispatch_wake_at(e, borrow_next_us(s));
+        dispatch_run_at(e, borrow_next_us(s));
     }
-    if (end != NO_QUOTA && borrow_wanted(s) && s->pool.own_free == 0) {
+    if (end != NO_QUOTA && borrow_wanted(s) && s->pool.own_free_slots == 0) {
         lends_recall(e, s);
     }
 }
@@ -520,15 +524,15 @@
     struct service_state *s = u->service;
 
     if (s == NULL || !name_equal(s->name, u->info.service)) {
-        s = dispatch_service(e, u->info.service);
+        s = dispatch_ensure_service(e, u->info.service);
         if (u->place != NULL) {
             slots_close(e, u->place);
         }
         if (u->service != NULL) {
-            u->service->upstreams--;
+            u->service->n_upstreams--;
         }
         u->service = s;
-        s->upstreams++;
+        s->n_upstreams++;
     }
     if (!ours(e, u) && u->place != NULL) {
         slots_close(e, u->place);
@@ -539,7 +543,7 @@
     slots_epoch(e, u);
     slots_update(e, u);
     s->capacity = 0;
-    dispatch_wake(e, s);
+    dispatch_mark_dirty(e, s);
 }
 
 void
@@ -554,7 +558,7 @@
     slots_upstream_gone(e, u);
     if (u->service != NULL) {
         u->service->capacity = 0;
-        u->service->upstreams--;
+        u->service->n_upstreams--;
         u->service = NULL;
     }
 }
@@ -566,7 +570,7 @@
 }
 
 size_t
-dispatch_loads(const struct entry *e, struct rec_load **loads)
+dispatch_collect_loads(const struct entry *e, struct rec_load **loads)
 {
     const struct dispatch *d = e->dispatch;
     size_t n = 0;
@@ -578,11 +582,11 @@
     for (size_t i = 0; i < d->n_services; i++) {
         const struct service_state *s = d->services[i];
         struct rec_load load = {.service = s->name,
-                                .free_slots = s->pool.own_free,
-                                .backlog = s->queued,
-                                .running = s->running};
+                                .free_slots = s->pool.own_free_slots,
+                                .backlog = s->n_queued,
+                                .running = s->n_running};
 
-        admit_largest(e, s, &load);
+        admit_fill_largest(e, s, &load);
         if (load.free_slots + load.backlog + load.running > 0 ||
             load.cpu_milli + load.memory_mb > 0) {
             (*loads)[n++] = load;
@@ -596,19 +600,19 @@
 static void
 unblock(struct entry *e, struct service_state *s)
 {
-    for (size_t i = 0; i < s->pool.n; i++) {
-        struct place *p = s->pool.all[i];
+    for (size_t i = 0; i < s->pool.n_places; i++) {
+        struct place *p = s->pool.all_places[i];
 
         if (p->closed || p->listed) {
             continue;
         }
         place_update(e, p);
         if (p->listed) {
-            dispatch_wake(e, s);
+            dispatch_mark_dirty(e, s);
         }
     }
     if (borrow_next_us(s) <= e->now.mono_us || borrow_wanted(s)) {
-        dispatch_wake(e, s);
+        dispatch_mark_dirty(e, s);
     }
 }
 
@@ -624,8 +628,8 @@
         int64_t at = borrow_next_us(s);
 
         next = at < next ? at : next;
-        for (size_t k = 0; k < s->pool.n; k++) {
-            at = place_next_us(e, s->pool.all[k]);
+        for (size_t k = 0; k < s->pool.n_places; k++) {
+            at = place_available_at_us(e, s->pool.all_places[k]);
             next = at < next ? at : next;
         }
     }
@@ -640,13 +644,13 @@
     starts_tick(e);
     slots_tick(e);
     quotas_tick(e);
-    if (d->unblock_us > e->now.mono_us) {
+    if (d->next_recheck_us > e->now.mono_us) {
         return;
     }
     for (size_t i = 0; i < d->n_services; i++) {
         unblock(e, d->services[i]);
     }
-    d->unblock_us = next_unblock(e);
+    d->next_recheck_us = next_unblock(e);
 }
 
 static int64_t
@@ -661,17 +665,17 @@
     int64_t next = earlier(starts_next_us(e), slots_next_us(e));
 
     next = earlier(next, quotas_next_us(e));
-    return earlier(next, e->dispatch->unblock_us);
+    return earlier(next, e->dispatch->next_recheck_us);
 }
 
 uint32_t
-dispatch_queued(const struct entry *e)
+dispatch_count_queued(const struct entry *e)
 {
-    return e->dispatch->queued;
+    return e->dispatch->n_queued;
 }
 
 uint32_t
-dispatch_running(const struct entry *e)
+dispatch_count_running(const struct entry *e)
 {
     return starts_count(e);
 }
--- a/src/dispatch.h
+++ b/src/dispatch.h
@@ -27,9 +27,9 @@
 /** dispatch_enqueue() - takes all WAITING tasks of a claimed job */
 void dispatch_enqueue(struct entry *e, struct job *job);
 
-/** dispatch_forget() - drops a job's queued tasks without any message and
+/** dispatch_drop_job() - drops a job's queued tasks without any message and
  * cuts the links of its sent ones; their slots free up when they end */
-void dispatch_forget(struct entry *e, struct job *job);
+void dispatch_drop_job(struct entry *e, struct job *job);
 
 void dispatch_on_ended(struct entry *e, const struct ev_ended *ev);
 void dispatch_on_revoked(struct entry *e, const struct ev_revoked *ev);
@@ -56,17 +56,18 @@
 /** dispatch_run() - places what can be placed; called at the end of a step */
 void dispatch_run(struct entry *e);
 
-/** dispatch_room_for() - whether an upstream of that service may be announced:
- * one that has a configuration or other upstreams, or there are not too many
- * without */
-bool dispatch_room_for(const struct entry *e, struct name service);
+/** dispatch_accepts_service() - whether an upstream of that service may be
+ * announced: one that has a configuration or other upstreams, or there are not
+ * too many without */
+bool dispatch_accepts_service(const struct entry *e, struct name service);
 
-/** dispatch_loads() - fills @loads for a heartbeat; returns their number */
-size_t dispatch_loads(const struct entry *e, struct rec_load **loads);
+/** dispatch_collect_loads() - fills @loads for a heartbeat; returns their
+ * number */
+size_t dispatch_collect_loads(const struct entry *e, struct rec_load **loads);
 
 void dispatch_tick(struct entry *e);
 int64_t dispatch_next_us(const struct entry *e);
-uint32_t dispatch_queued(const struct entry *e);
-uint32_t dispatch_running(const struct entry *e);
+uint32_t dispatch_count_queued(const struct entry *e);
+uint32_t dispatch_count_running(const struct entry *e);
 
 #endif
--- a/src/dump.c
+++ b/src/dump.c
@@ -10,7 +10,7 @@
 #include "upstream.h"
 
 void
-dump_answer(struct entry *e, uint64_t request, json_t *root)
+dump_send_reply(struct entry *e, uint64_t request, json_t *root)
 {
     struct ef_text *f;
     char *text = json_dumps(root, JSON_INDENT(2));
@@ -146,8 +146,8 @@
     put(o, "records", claims_count(e));
     put(o, "bytes", claims_bytes(e));
     for (size_t i = 0; i < n; i++) {
-        (void)json_object_set_new(voting, zones[i].s,
-                                  json_boolean(claims_voting(e, zones[i])));
+        (void)json_object_set_new(
+            voting, zones[i].s, json_boolean(claims_voter_ready(e, zones[i])));
     }
     (void)json_object_set_new(o, "voting", voting);
     return o;
@@ -163,12 +163,12 @@
     put(root, "incarnation", e->opts.incarnation);
     (void)json_object_set_new(root, "stopping", json_boolean(e->stopping));
     put(root, "config_version", entry_config_version(e));
-    put(root, "tasks_queued", dispatch_queued(e));
-    put(root, "tasks_running", dispatch_running(e));
+    put(root, "tasks_queued", dispatch_count_queued(e));
+    put(root, "tasks_running", dispatch_count_running(e));
     (void)json_object_set_new(root, "members", dump_members(e));
     (void)json_object_set_new(root, "claims", dump_claims(e));
     (void)json_object_set_new(root, "upstreams", dump_upstreams(e));
     (void)json_object_set_new(root, "jobs", dump_jobs(e));
     (void)json_object_set_new(root, "counters", dump_counters(e));
-    dump_answer(e, q->request, root);
+    dump_send_reply(e, q->request, root);
 }
--- a/src/dump.h
+++ b/src/dump.h
@@ -15,7 +15,7 @@
 /** dump_job() - one job as JSON */
 json_t *dump_job(const struct job *job);
 
-/** dump_answer() - answers a request with @root, which it frees */
-void dump_answer(struct entry *e, uint64_t request, json_t *root);
+/** dump_send_reply() - answers a request with @root, which it frees */
+void dump_send_reply(struct entry *e, uint64_t request, json_t *root);
 
 #endif
--- a/src/effect.c
+++ b/src/effect.c
@@ -10,7 +10,7 @@
 {
     struct effect *f;
 
-    fx->items = array_grow(fx->items, fx->n, &fx->room, sizeof(*f));
+    fx->items = array_grow(fx->items, fx->n, &fx->capacity, sizeof(*f));
     f = &fx->items[fx->n++];
     memset(f, 0, sizeof(*f));
     f->kind = kind;
--- a/src/effect.h
+++ b/src/effect.h
@@ -49,9 +49,9 @@
     uint64_t request;
     enum problem problem;
     char detail[DETAIL_SIZE];
-    int64_t retry_after_us; /* 0: no Retry-After */
-    bool not_run;           /* a fact: nothing of the key ever started */
-    bool not_by_this;       /* this request started nothing */
+    int64_t retry_after_us;       /* 0: no Retry-After */
+    bool not_run;                 /* a fact: nothing of the key ever started */
+    bool request_started_nothing; /* this request started nothing */
 };
 
 struct ef_keys {
@@ -80,7 +80,8 @@
     struct key_id key;
     uint32_t index;       /* of the task in its job */
     struct blob *payload; /* owned reference */
-    int64_t silent_us;    /* report START_LOST after this long without end */
+    int64_t
+        silence_timeout_us; /* report START_LOST after this long without end */
 };
 
 struct ef_revoke {
@@ -136,7 +137,7 @@
 struct effects {
     struct effect *items;
     size_t n;
-    size_t room;
+    size_t capacity;
 };
 
 /** effects_add() - appends a zeroed effect of that kind and returns it; the
--- a/src/entry.c
+++ b/src/entry.c
@@ -55,9 +55,9 @@
 }
 
 uint64_t
-entry_new_call(struct entry *e)
+entry_new_call_id(struct entry *e)
 {
-    return ++e->last_call;
+    return ++e->last_call_id;
 }
 
 void
@@ -90,7 +90,7 @@
     (void)vsnprintf(log->detail, sizeof(log->detail), format, args);
     va_end(args);
     if (key != NULL) {
-        explain_log(e, log);
+        explain_record_log(e, log);
     }
 }
 
@@ -186,7 +186,7 @@
 
     while ((job = jobs_next(e, &at)) != NULL) {
         if (job->phase == JOB_ACTIVE) {
-            dispatch_forget(e, job);
+            dispatch_drop_job(e, job);
         }
     }
 }
@@ -238,8 +238,8 @@
     e->counters.pauses++;
     entry_log(e, LOG_WARNING, REASON_PAUSED, NULL, -1, name_of(""),
               "no event for %lld ms", (long long)(gap / USEC_PER_MSEC));
-    if (gap >= e->opts.claim_window_us / WINDOW_SHARE) {
-        e->wary_until_us = e->now.mono_us + STALE_REQUESTS_US;
+    if (gap >= e->opts.claim_window_us / CLAIM_WINDOW_DIVISOR) {
+        e->refuse_bare_until_us = e->now.mono_us + STALE_REQUESTS_US;
     }
     holders_let_go(e);
     members_paused(e);
@@ -337,23 +337,23 @@
     }
     e->stopping = true;
     entry_log(e, LOG_NOTICE, REASON_STOPPING, NULL, -1, name_of(""),
-              "%zu jobs in progress", jobs_active(e));
+              "%zu jobs in progress", jobs_count_active(e));
     members_stopping(e);
 }
 
 static void
 tell_stopped(struct entry *e)
 {
-    bool busy = jobs_active(e) > 0 || dispatch_running(e) > 0;
+    bool busy = jobs_count_active(e) > 0 || dispatch_count_running(e) > 0;
 
-    if (!e->stopping || e->stopped_told ||
+    if (!e->stopping || e->stop_reported ||
         (busy && !MUTANT(e, STOP_AT_ONCE))) {
         return;
     }
     if (!handover_done(e)) {
         return;
     }
-    e->stopped_told = true;
+    e->stop_reported = true;
     (void)effects_add(e->fx, EF_STOPPED);
 }
 
@@ -380,7 +380,7 @@
         jobs_caller_gone(e, ev->u.query.request);
         break;
     case EV_MINT:
-        jobs_mint(e, &ev->u.mint);
+        jobs_mint_keys(e, &ev->u.mint);
         break;
     case EV_ANNOUNCE:
         upstreams_on_announce(e, &ev->u.announce);
@@ -505,9 +505,9 @@
         g.members_up += m->up ? 1 : 0;
     }
     count_upstreams(e, &g);
-    g.jobs = jobs_active(e);
-    g.tasks_queued = dispatch_queued(e);
-    g.tasks_running = dispatch_running(e);
+    g.jobs = jobs_count_active(e);
+    g.tasks_queued = dispatch_count_queued(e);
+    g.tasks_running = dispatch_count_running(e);
     g.claims = claims_count(e);
     g.answer_bytes = jobs_answer_bytes(e);
     return g;
--- a/src/entry.h
+++ b/src/entry.h
@@ -65,7 +65,7 @@
     uint32_t retry_percent;      /* re-placements a hundred starts may cause */
     uint32_t quarantine_after;   /* failures in a row */
     uint32_t quarantine_percent; /* most upstreams of a service at once */
-    bool spare_messages;         /* prefer fewer messages over response time */
+    bool fewer_messages;         /* prefer fewer messages over response time */
     bool mutants[MUTANTS];       /* with BM_MUTANTS: wrong decisions to make */
 };
 
--- a/src/entry_settings.c
+++ b/src/entry_settings.c
@@ -227,14 +227,14 @@
     o->inbox = INBOX;
     read_limits(s);
     o->entry.self = name_of(settings_text(f, "instance", "name"));
-    o->entry.spare_messages = settings_choice(f, "instance", "prefer") == 1;
+    o->entry.fewer_messages = settings_choice(f, "instance", "prefer") == 1;
     o->peers.self = o->entry.self;
     o->peers.heartbeat_us = o->entry.heartbeat_us;
     o->peers.remotes = s->remotes;
     o->upstreams.self = o->entry.self;
     o->http.listen = address_of(settings_text(f, "instance", "listen_http"));
     o->peers.listen = address_of(settings_text(f, "instance", "listen_peer"));
-    s->services = settings_text(f, "instance", "services");
+    s->services_dir = settings_text(f, "instance", "services");
     s->log_level = settings_choice(f, "instance", "log_level");
     s->stop_grace_ms = settings_int(f, "instance", "stop_grace_ms");
     read_peers(s);
--- a/src/entry_settings.h
+++ b/src/entry_settings.h
@@ -12,7 +12,7 @@
 /**
  * struct entry_settings - what a settings file says
  * @runtime: points to the members below
- * @services: folder of service files; empty when configuration comes from
+ * @services_dir: folder of service files; empty when configuration comes from
  *            control alone
  * @log_level: syslog severity
  * @stop_grace_ms: between the first 503 of the health check and the closing
@@ -24,7 +24,7 @@
     struct entry_peer peers[INSTANCES_MAX];
     struct peer_remote remotes[2 * INSTANCES_MAX];
     struct name controls[INSTANCES_MAX];
-    const char *services;
+    const char *services_dir;
     int log_level;
     int64_t stop_grace_ms;
 };
--- a/src/entry_state.h
+++ b/src/entry_state.h
@@ -27,7 +27,7 @@
 
 /* Part of the claim window that a job or a question may last at most, and a
  * pause after which an instance doubts what it finds waiting. */
-enum { WINDOW_SHARE = 4 };
+enum { CLAIM_WINDOW_DIVISOR = 4 };
 
 struct members;
 struct claims;
@@ -48,11 +48,11 @@
     struct effects *fx;
     struct config *config; /* NULL until the first arrives */
     bool stopping;
-    bool stopped_told;
-    uint64_t random;    /* state of entry_random() */
-    uint64_t last_call; /* see entry_new_call() */
+    bool stop_reported;
+    uint64_t random;       /* state of entry_random() */
+    uint64_t last_call_id; /* see entry_new_call_id() */
     int64_t last_step_us;
-    int64_t wary_until_us; /* bare keys are refused until then */
+    int64_t refuse_bare_until_us; /* bare keys are refused until then */
     struct entry_counters counters;
     struct members *members;
     struct claims *claims;
@@ -73,8 +73,8 @@
 /** entry_jitter() - a time between half and one and a half times @us */
 int64_t entry_jitter(struct entry *e, int64_t us);
 
-/** entry_new_call() - a number no earlier call of this instance had */
-uint64_t entry_new_call(struct entry *e);
+/** entry_new_call_id() - a number no earlier call of this instance had */
+uint64_t entry_new_call_id(struct entry *e);
 
 /** entry_send() - sends a message; takes over what it owns */
 void entry_send(struct entry *e, struct name to, struct msg *m);
--- a/src/explain.c
+++ b/src/explain.c
@@ -69,7 +69,7 @@
 }
 
 size_t
-explain_size(const struct job *job)
+explain_bytes(const struct job *job)
 {
     const struct notes *notes = job->notes;
 
@@ -79,7 +79,7 @@
 }
 
 void
-explain_forget(struct job *job)
+explain_clear(struct job *job)
 {
     free(job->notes);
     job->notes = NULL;
@@ -113,8 +113,8 @@
 }
 
 void
-explain_add(struct entry *e, struct job *job, enum reason reason,
-            int32_t index, struct name subject)
+explain_record(struct entry *e, struct job *job, enum reason reason,
+               int32_t index, struct name subject)
 {
     struct notes *notes = job->notes;
     uint32_t place = notes != NULL ? note_place(notes->n) : 0;
@@ -145,12 +145,12 @@
 }
 
 void
-explain_log(struct entry *e, const struct ef_log *log)
+explain_record_log(struct entry *e, const struct ef_log *log)
 {
     struct job *job = jobs_by_key(e, log->key);
 
     if (job != NULL) {
-        explain_add(e, job, log->reason, log->index, log->subject);
+        explain_record(e, job, log->reason, log->index, log->subject);
     }
     if (job == NULL || log->severity <= LOG_INFO) {
         ring_add(e, log);
@@ -271,7 +271,7 @@
     (void)json_object_set_new(root, "instance", json_string(e->opts.self.s));
     (void)json_object_set_new(root, "home", json_string(key.zone.s));
     (void)json_object_set_new(root, "voters", voters_json(e, key.zone));
-    if (claims_record(e, key.id, &claim)) {
+    if (claims_lookup(e, key.id, &claim)) {
         (void)json_object_set_new(root, "claim", claim_json(&claim));
     }
     if (job != NULL) {
@@ -280,5 +280,5 @@
                                   notes_json(job->notes, root));
     }
     (void)json_object_set_new(root, "of_note", ring_json(e->explain, key.id));
-    dump_answer(e, q->request, root);
+    dump_send_reply(e, q->request, root);
 }
--- a/src/explain.h
+++ b/src/explain.h
@@ -14,18 +14,18 @@
 struct explain *explain_new(void);
 void explain_free(struct explain *x);
 
-/** explain_log() - keeps a log line that is about a key */
-void explain_log(struct entry *e, const struct ef_log *log);
+/** explain_record_log() - keeps a log line that is about a key */
+void explain_record_log(struct entry *e, const struct ef_log *log);
 
-/** explain_add() - keeps a decision that is not logged, such as a start */
-void explain_add(struct entry *e, struct job *job, enum reason reason,
-                 int32_t index, struct name subject);
+/** explain_record() - keeps a decision that is not logged, such as a start */
+void explain_record(struct entry *e, struct job *job, enum reason reason,
+                    int32_t index, struct name subject);
 
-/** explain_size() - bytes of a job's own notes */
-size_t explain_size(const struct job *job);
+/** explain_bytes() - bytes of a job's own notes */
+size_t explain_bytes(const struct job *job);
 
-/** explain_forget() - frees a job's own notes */
-void explain_forget(struct job *job);
+/** explain_clear() - frees a job's own notes */
+void explain_clear(struct job *job);
 
 /** explain_query() - answers with what was decided for a key, and why */
 void explain_query(struct entry *e, const struct ev_query *q);
--- a/src/handover.c
+++ b/src/handover.c
@@ -93,7 +93,7 @@
     to->status = job->answer->status;
     to->reason = job->answer->reason;
     to->left_us = left > 0 ? (uint64_t)left : 0;
-    to->n_tasks = waiter_tasks(job->answer, &to->tasks);
+    to->n_tasks = waiter_encode_tasks(job->answer, &to->tasks);
 }
 
 /* Sends what follows h->at; false where nothing does. */
@@ -268,18 +268,18 @@
     int64_t left = e->opts.answer_keep_us;
     struct job_answer *a;
 
-    if (job_past(e, r->key) != NULL ||
+    if (job_find_used_key(e, r->key) != NULL ||
         (job != NULL && job->phase != JOB_JOINED &&
          job->phase != JOB_CLAIMING)) {
         return;
     }
-    a = job_answer_read(r->status, r->reason, r->tasks, r->n_tasks);
+    a = job_answer_decode(r->status, r->reason, r->tasks, r->n_tasks);
     if (job != NULL && job_digest_differs(job, r->digest)) {
-        job_refuse_plain(e, job, PROBLEM_CONFLICT, 0, WAIT_CONFLICT,
-                         "the key was used with another body");
+        job_refuse_not_started(e, job, PROBLEM_CONFLICT, 0, WAIT_CONFLICT,
+                               "the key was used with another body");
     }
     else if (job != NULL) {
-        waiters_answer(e, &e->jobs->requests, job, a);
+        waiters_answer(e, &e->jobs->waiters_by_request, job, a);
         job_remove(e, job);
     }
     left = r->left_us < (uint64_t)left ? (int64_t)r->left_us : left;
@@ -300,7 +300,7 @@
     for (size_t i = 0; i < m->n_answers; i++) {
         const struct rec_kept_answer *r = &m->answers[i];
 
-        if (!job_answer_sound(r->status, r->reason, r->tasks, r->n_tasks)) {
+        if (!job_answer_valid(r->status, r->reason, r->tasks, r->n_tasks)) {
             return false;
         }
     }
--- a/src/health.c
+++ b/src/health.c
@@ -85,7 +85,7 @@
 {
     u->health->backoff_us = PROBE_FIRST_US;
     u->health->probe_us = e->now.mono_us + entry_jitter(e, PROBE_FIRST_US);
-    dispatch_wake_at(e, u->health->probe_us);
+    dispatch_run_at(e, u->health->probe_us);
 }
 
 /* When every upstream of a service fails everything, the fault is not theirs:
@@ -156,7 +156,7 @@
         h->backoff_us = PROBE_LONGEST_US;
     }
     h->probe_us = e->now.mono_us + entry_jitter(e, h->backoff_us);
-    dispatch_wake_at(e, h->probe_us);
+    dispatch_run_at(e, h->probe_us);
     entry_log(e, LOG_INFO, REASON_PROBED, NULL, -1, u->name,
               "failed again; next in %lld ms",
               (long long)((h->probe_us - e->now.mono_us) / USEC_PER_MSEC));
--- a/src/holder.c
+++ b/src/holder.c
@@ -132,7 +132,7 @@
     struct ef_fence *f = &effects_add(e->fx, EF_FENCE)->u.fence;
 
     c->self = h;
-    c->call = entry_new_call(e);
+    c->call = entry_new_call_id(e);
     c->upstream = u->self;
     c->epoch = next_epoch(e, u->info.epoch);
     map_put(&hs->fence_by_call, c);
--- a/src/httpd.c
+++ b/src/httpd.c
@@ -64,7 +64,7 @@
     if (reply->location[0] != '\0') {
         (void)MHD_add_response_header(response, "Location", reply->location);
     }
-    if (r->route.kind == ROUTE_METHOD) {
+    if (r->route.kind == ROUTE_METHOD_NOT_ALLOWED) {
         (void)MHD_add_response_header(response, "Allow", r->route.allow);
     }
     if (atomic_load(&h->stopping)) {
@@ -265,7 +265,7 @@
         envelope_free(e);
         stats_add(&stats.http_inbox_full, 1);
         full.u.problem.problem = PROBLEM_OVERLOADED;
-        full.u.problem.not_by_this = true;
+        full.u.problem.request_started_nothing = true;
         (void)snprintf(full.u.problem.detail, sizeof(full.u.problem.detail),
                        "too many requests wait at this instance");
         httpd_reply(h, id, &full);
@@ -399,7 +399,7 @@
     struct effect stop = {.kind = EF_PROBLEM};
 
     stop.u.problem.problem = PROBLEM_STOPPING;
-    stop.u.problem.not_by_this = true;
+    stop.u.problem.request_started_nothing = true;
     httpd_reply(cls, request, &stop);
 }
 
--- a/src/httpreply.c
+++ b/src/httpreply.c
@@ -80,7 +80,7 @@
     if (p->not_run) {
         started = "not_run";
     }
-    else if (p->not_by_this) {
+    else if (p->request_started_nothing) {
         started = "none_by_this_request";
     }
     return reply_problem(p->problem, p->detail, started, p->retry_after_us);
--- a/src/httprequest.c
+++ b/src/httprequest.c
@@ -52,7 +52,7 @@
 static bool
 check_path_key(struct httprequest *r, struct httprefusal *why)
 {
-    if (r->route.name_cut) {
+    if (r->route.name_truncated) {
         return refuse(why, PROBLEM_BAD_KEY, key_error_text(KEY_TOO_LONG));
     }
     return check_key(r, r->route.name, why);
@@ -152,7 +152,7 @@
     if (r->route.kind == ROUTE_NOT_FOUND) {
         return refuse(why, PROBLEM_NOT_FOUND, "there is nothing at this path");
     }
-    if (r->route.kind == ROUTE_METHOD) {
+    if (r->route.kind == ROUTE_METHOD_NOT_ALLOWED) {
         return refuse(why, PROBLEM_METHOD, r->route.allow);
     }
     if (!check_length(r, body_max, why)) {
--- a/src/job_caller.c
+++ b/src/job_caller.c
@@ -31,7 +31,7 @@
 {
     struct ef_problem p = {.problem = problem,
                            .retry_after_us = retry_after_us,
-                           .not_by_this = true};
+                           .request_started_nothing = true};
 
     (void)snprintf(p.detail, sizeof(p.detail), "%s", detail);
     refuse_request(e, request, &p);
@@ -64,7 +64,7 @@
     struct ef_answer *f = &effects_add(e->fx, EF_ANSWER)->u.answer;
 
     f->request = request;
-    f->answer = job_answer_begin(0, JOB_RUNNING, REASON_NONE);
+    f->answer = job_answer_create(0, JOB_RUNNING, REASON_NONE);
 }
 
 static void
@@ -82,7 +82,7 @@
         return;
     }
     e->counters.jobs_joined++;
-    job_join(e, job, &w);
+    job_add_waiter(e, job, &w);
 }
 
 static void
@@ -128,7 +128,8 @@
 static bool
 refuse_early(struct entry *e, struct job *job)
 {
-    struct ef_problem p = {.problem = PROBLEM_OVERLOADED, .not_by_this = true};
+    struct ef_problem p = {.problem = PROBLEM_OVERLOADED,
+                           .request_started_nothing = true};
     struct admission a;
 
     if (e->opts.placement != PLACE_HOLDER ||
@@ -157,11 +158,11 @@
     struct job *job = job_add(e, key, false);
 
     fill_job(e, job, ev->spec);
-    waiters_add(&e->jobs->requests, job, &w);
+    waiters_add(&e->jobs->waiters_by_request, job, &w);
     if (refuse_early(e, job)) {
         return;
     }
-    job_due(e, job, job->deadline_us);
+    job_set_timer(e, job, job->deadline_us);
     claims_begin(e, key, job->digest, CLAIM_RUN, job->self);
 }
 
@@ -182,8 +183,9 @@
     if (job != NULL) {
         submit_again(e, ev, job);
     }
-    else if (job_past(e, key.id) != NULL) {
-        refuse_past(e, ev->request, job_past(e, key.id), ev->spec->digest);
+    else if (job_find_used_key(e, key.id) != NULL) {
+        refuse_past(e, ev->request, job_find_used_key(e, key.id),
+                    ev->spec->digest);
     }
     else if (e->stopping) {
         refuse_stopping(e, ev->request);
@@ -205,11 +207,11 @@
     struct waiter w = {.request = ev->request};
     struct job *job = job_add(e, key, true);
 
-    job->peek = !ev->wait;
+    job->no_wait = !ev->wait;
     job->deadline_us =
-        job->submitted_us + e->opts.claim_window_us / WINDOW_SHARE;
-    waiters_add(&e->jobs->requests, job, &w);
-    job_due(e, job, job->deadline_us);
+        job->submitted_us + e->opts.claim_window_us / CLAIM_WINDOW_DIVISOR;
+    waiters_add(&e->jobs->waiters_by_request, job, &w);
+    job_set_timer(e, job, job->deadline_us);
     claims_find(e, key, job->self);
 }
 
@@ -230,10 +232,10 @@
         answer_running(e, ev->request);
     }
     else if (job != NULL) {
-        job_join(e, job, &w);
+        job_add_waiter(e, job, &w);
     }
-    else if (job_past(e, key.id) != NULL) {
-        refuse_past(e, ev->request, job_past(e, key.id), 0);
+    else if (job_find_used_key(e, key.id) != NULL) {
+        refuse_past(e, ev->request, job_find_used_key(e, key.id), 0);
     }
     else if (e->stopping) {
         refuse_stopping(e, ev->request);
@@ -254,9 +256,9 @@
 
     job->purpose = CLAIM_CANCEL;
     job->deadline_us =
-        job->submitted_us + e->opts.claim_window_us / WINDOW_SHARE;
-    waiters_add(&e->jobs->requests, job, &w);
-    job_due(e, job, job->deadline_us);
+        job->submitted_us + e->opts.claim_window_us / CLAIM_WINDOW_DIVISOR;
+    waiters_add(&e->jobs->waiters_by_request, job, &w);
+    job_set_timer(e, job, job->deadline_us);
     claims_begin(e, key, 0, CLAIM_CANCEL, job->self);
 }
 
@@ -274,11 +276,11 @@
     }
     job = jobs_by_key(e, key.id);
     if (job != NULL) {
-        job_join(e, job, &w);
+        job_add_waiter(e, job, &w);
         job_cancel(e, job);
     }
-    else if (job_past(e, key.id) != NULL) {
-        refuse_past(e, ev->request, job_past(e, key.id), 0);
+    else if (job_find_used_key(e, key.id) != NULL) {
+        refuse_past(e, ev->request, job_find_used_key(e, key.id), 0);
     }
     else if (e->stopping) {
         refuse_stopping(e, ev->request);
@@ -291,17 +293,18 @@
 void
 jobs_caller_gone(struct entry *e, uint64_t request)
 {
-    struct waiter *w = map_get(&e->jobs->requests, &request);
-    struct job *job = w != NULL ? jobs_of(e, w->job) : NULL;
+    struct waiter *w = map_get(&e->jobs->waiters_by_request, &request);
+    struct job *job = w != NULL ? jobs_by_handle(e, w->job) : NULL;
 
     if (job != NULL &&
-        waiters_gone(&e->jobs->requests, job, request) == NULL && job->query) {
+        waiters_remove(&e->jobs->waiters_by_request, job, request) == NULL &&
+        job->is_query) {
         job_remove(e, job);
     }
 }
 
 void
-jobs_mint(struct entry *e, const struct ev_mint *ev)
+jobs_mint_keys(struct entry *e, const struct ev_mint *ev)
 {
     uint32_t n = ev->count < MINT_MAX ? ev->count : MINT_MAX;
     char(*keys)[KEY_TEXT_SIZE] = calloc(n > 0 ? n : 1, sizeof(*keys));
@@ -313,7 +316,7 @@
     }
     for (uint32_t i = 0; i < n; i++) {
         key_mint(e->zone, e->opts.self, e->opts.incarnation, e->now.wall_us,
-                 ++e->jobs->minted, keys[i]);
+                 ++e->jobs->n_keys_minted, keys[i]);
     }
     f = &effects_add(e->fx, EF_KEYS)->u.keys;
     f->request = ev->request;
--- a/src/job_peer.c
+++ b/src/job_peer.c
@@ -16,7 +16,7 @@
     struct handle h = {.index = (uint32_t)(wait >> 32),
                        .generation = (uint32_t)wait};
 
-    return jobs_of(e, h);
+    return jobs_by_handle(e, h);
 }
 
 void
@@ -28,10 +28,10 @@
     w->key = job->id;
     w->digest = job->digest;
     w->wait = wait_number(job->self);
-    w->cancel = job->cancel ? 1 : 0;
-    w->peek = job->peek ? 1 : 0;
+    w->cancel = job->cancel_requested ? 1 : 0;
+    w->peek = job->no_wait ? 1 : 0;
     /* No incarnation is 0: who does not know the answer says it is lost. */
-    w->incarnation = job->moved ? 0 : job->claimer_incarnation;
+    w->incarnation = job->at_successor ? 0 : job->claimer_incarnation;
     entry_send(e, job->claimer, &m);
 }
 
@@ -43,7 +43,8 @@
     if (m == NULL || m->self || m->incarnation > job->claimer_incarnation) {
         return true;
     }
-    return !m->up && (m->incarnation != 0 || e->now.mono_us >= job->lost_us);
+    return !m->up &&
+           (m->incarnation != 0 || e->now.mono_us >= job->claimer_lost_at_us);
 }
 
 /* What the claimer started, nobody can tell. */
@@ -54,11 +55,12 @@
               "incarnation %llu",
               (unsigned long long)job->claimer_incarnation);
     if (job->n_tasks > 0) {
-        job_unknown(e, job, REASON_CLAIMER_LOST);
+        job_end_unknown(e, job, REASON_CLAIMER_LOST);
         return;
     }
-    job_refuse_plain(e, job, PROBLEM_CLAIMER_LOST, e->opts.member_timeout_us,
-                     WAIT_RELEASED, "the instance that took the key is gone");
+    job_refuse_not_started(e, job, PROBLEM_CLAIMER_LOST,
+                           e->opts.member_timeout_us, WAIT_RELEASED,
+                           "the instance that took the key is gone");
 }
 
 /* This instance is the successor itself.  A submission would have found the
@@ -69,13 +71,13 @@
     struct job *kept = jobs_by_key(e, job->id);
 
     if (kept != NULL && kept->phase == JOB_ENDED) {
-        waiters_answer(e, &e->jobs->requests, job, kept->answer);
+        waiters_answer(e, &e->jobs->waiters_by_request, job, kept->answer);
         job_remove(e, job);
         return;
     }
-    if (job_past(e, job->id) != NULL) {
-        job_refuse_plain(e, job, PROBLEM_FORGOTTEN, 0, WAIT_RELEASED,
-                         "the job ended; its answer is no longer kept");
+    if (job_find_used_key(e, job->id) != NULL) {
+        job_refuse_not_started(e, job, PROBLEM_FORGOTTEN, 0, WAIT_RELEASED,
+                               "the job ended; its answer is no longer kept");
         return;
     }
     give_up_claimer(e, job);
@@ -103,22 +105,22 @@
               "its claimer %s stopped; asks its successor", job->claimer.s);
     job->claimer = at;
     job->claimer_incarnation = incarnation;
-    job->moved = true;
-    job->lost_us = e->now.mono_us + e->opts.member_timeout_us;
+    job->at_successor = true;
+    job->claimer_lost_at_us = e->now.mono_us + e->opts.member_timeout_us;
     if (claimer_gone(e, job)) {
         give_up_claimer(e, job);
         return;
     }
     job_send_wait(e, job);
-    job_due(e, job, job->lost_us);
+    job_set_timer(e, job, job->claimer_lost_at_us);
 }
 
 static void
 take_running(struct entry *e, struct job *job)
 {
-    struct job_answer *a = job_answer_begin(0, JOB_RUNNING, REASON_NONE);
+    struct job_answer *a = job_answer_create(0, JOB_RUNNING, REASON_NONE);
 
-    waiters_answer(e, &e->jobs->requests, job, a);
+    waiters_answer(e, &e->jobs->waiters_by_request, job, a);
     job_answer_free(a);
     job_remove(e, job);
 }
@@ -140,13 +142,13 @@
     }
     entry_log(e, LOG_INFO, REASON_DEADLINE, &job->id, -1, job->claimer,
               "no answer from its claimer");
-    job_unknown(e, job, REASON_DEADLINE);
+    job_end_unknown(e, job, REASON_DEADLINE);
 }
 
 /* The question may be lost with its connection; asked again, the claimer
  * knows it by its number. */
 void
-job_wait_again(struct entry *e, struct job *job)
+job_retry_wait(struct entry *e, struct job *job)
 {
     int64_t next = e->now.mono_us + e->opts.member_timeout_us;
     int64_t end = joined_end_us(e, job);
@@ -160,36 +162,37 @@
         return;
     }
     job_send_wait(e, job);
-    job_due(e, job, next < end ? next : end);
+    job_set_timer(e, job, next < end ? next : end);
 }
 
 void
-job_join_claimer(struct entry *e, struct job *job,
-                 const struct claim_result *r)
+job_wait_at_claimer(struct entry *e, struct job *job,
+                    const struct claim_result *r)
 {
     struct handle self = job->self;
 
     job->phase = JOB_JOINED;
     job->claimer = r->claimer;
     job->claimer_incarnation = r->incarnation;
-    job->cancel = job->cancel || job->purpose == CLAIM_CANCEL;
-    job->lost_us = e->now.mono_us + e->opts.member_timeout_us;
-    e->counters.jobs_joined += job->query ? 0 : 1;
+    job->cancel_requested =
+        job->cancel_requested || job->purpose == CLAIM_CANCEL;
+    job->claimer_lost_at_us = e->now.mono_us + e->opts.member_timeout_us;
+    e->counters.jobs_joined += job->is_query ? 0 : 1;
     entry_log(e, LOG_DEBUG, REASON_CLAIM_ELSEWHERE, &job->id, -1, r->claimer,
               "waits there");
-    waiters_release(e, job);
+    waiters_notify_released(e, job);
     job_free_tasks(job);
-    job_wait_again(e, job);
-    job = jobs_of(e, self);
+    job_retry_wait(e, job);
+    job = jobs_by_handle(e, self);
     if (job != NULL) {
-        waiters_accepted(e, &e->jobs->requests, job);
+        waiters_notify_accepted(e, &e->jobs->waiters_by_request, job);
     }
 }
 
 static void
 wait_unknown(struct entry *e, struct name from, const struct rec_job_wait *m)
 {
-    const struct past *p = job_past(e, m->key);
+    const struct past *p = job_find_used_key(e, m->key);
     enum wait_outcome outcome = WAIT_RELEASED;
 
     if (p != NULL) {
@@ -207,7 +210,7 @@
 wait_known(struct entry *e, struct name from, const struct rec_job_wait *m,
            struct job *job)
 {
-    struct waiter w = {.instance = from, .wait = m->wait};
+    struct waiter w = {.instance = from, .wait_id = m->wait};
 
     if (job_digest_differs(job, m->digest)) {
         waiter_reply(e, from, m->wait, m->key, WAIT_CONFLICT, NULL);
@@ -225,7 +228,7 @@
         waiter_reply(e, from, m->wait, m->key, WAIT_RUNNING, NULL);
         return;
     }
-    job_join(e, job, &w);
+    job_add_waiter(e, job, &w);
     if (m->cancel != 0) {
         job_cancel(e, job);
     }
@@ -251,7 +254,7 @@
 /* An answer is whole or it is none: a wrong number of tasks, a state or a
  * reason nobody knows, or a complete job with a task that did not run. */
 bool
-job_answer_sound(uint64_t status, uint64_t reason,
+job_answer_valid(uint64_t status, uint64_t reason,
                  const struct rec_task_answer *tasks, size_t n_tasks)
 {
     if ((status != JOB_COMPLETE && status != JOB_FAILED) ||
@@ -268,11 +271,11 @@
 }
 
 struct job_answer *
-job_answer_read(uint64_t status, uint64_t reason,
-                const struct rec_task_answer *tasks, size_t n_tasks)
+job_answer_decode(uint64_t status, uint64_t reason,
+                  const struct rec_task_answer *tasks, size_t n_tasks)
 {
-    struct job_answer *a = job_answer_begin(n_tasks, (enum job_status)status,
-                                            (enum reason)reason);
+    struct job_answer *a = job_answer_create(n_tasks, (enum job_status)status,
+                                             (enum reason)reason);
 
     for (size_t i = 0; i < n_tasks; i++) {
         a->tasks[i].state = (enum task_state)tasks[i].state;
@@ -288,7 +291,7 @@
     bool cancelled = m->n_tasks == 0 && m->status == JOB_FAILED &&
                      m->reason == REASON_CANCELLED;
 
-    return job_answer_sound(m->status, m->reason, m->tasks, m->n_tasks) &&
+    return job_answer_valid(m->status, m->reason, m->tasks, m->n_tasks) &&
            (job->n_tasks == 0 || m->n_tasks == job->n_tasks || cancelled);
 }
 
@@ -300,10 +303,10 @@
     if (!answer_fits(job, m)) {
         return false;
     }
-    a = job_answer_read(m->status, m->reason, m->tasks, m->n_tasks);
+    a = job_answer_decode(m->status, m->reason, m->tasks, m->n_tasks);
     entry_log(e, LOG_DEBUG, a->reason, &job->id, -1, job->claimer,
               "answered there");
-    waiters_answer(e, &e->jobs->requests, job, a);
+    waiters_answer(e, &e->jobs->waiters_by_request, job, a);
     job_answer_free(a);
     job_remove(e, job);
     return true;
@@ -314,14 +317,14 @@
 {
     entry_log(e, LOG_INFO, REASON_CLAIMER_RELEASED, &job->id, -1, job->claimer,
               "it gave the key up");
-    if (job->query) {
-        job_refuse_plain(e, job, PROBLEM_UNKNOWN_JOB, 0, WAIT_RELEASED,
-                         "its claimer gave it up before any start");
+    if (job->is_query) {
+        job_refuse_not_started(e, job, PROBLEM_UNKNOWN_JOB, 0, WAIT_RELEASED,
+                               "its claimer gave it up before any start");
         return;
     }
-    job_refuse_plain(e, job, PROBLEM_NO_CLAIM,
-                     entry_jitter(e, 4 * e->opts.claim_timeout_us),
-                     WAIT_RELEASED, "its claimer gave it up");
+    job_refuse_not_started(e, job, PROBLEM_NO_CLAIM,
+                           entry_jitter(e, 4 * e->opts.claim_timeout_us),
+                           WAIT_RELEASED, "its claimer gave it up");
 }
 
 static bool
@@ -337,20 +340,20 @@
     case WAIT_ANSWER:
         return take_answer(e, job, m);
     case WAIT_RUNNING:
-        if (job->peek) {
+        if (job->no_wait) {
             take_running(e, job);
         }
         return true;
     case WAIT_CONFLICT:
-        job_refuse_plain(e, job, PROBLEM_CONFLICT, 0, WAIT_RELEASED,
-                         "the key was used with another body");
+        job_refuse_not_started(e, job, PROBLEM_CONFLICT, 0, WAIT_RELEASED,
+                               "the key was used with another body");
         return true;
     case WAIT_RELEASED:
         take_released(e, job);
         return true;
     case WAIT_FORGOTTEN:
-        job_refuse_plain(e, job, PROBLEM_FORGOTTEN, 0, WAIT_RELEASED,
-                         "the job ended; its answer is no longer kept");
+        job_refuse_not_started(e, job, PROBLEM_FORGOTTEN, 0, WAIT_RELEASED,
+                               "the job ended; its answer is no longer kept");
         return true;
     case WAIT_LOST:
         claimer_lost(e, job);
--- a/src/job_state.h
+++ b/src/job_state.h
@@ -22,15 +22,15 @@
 struct jobs {
     struct table table;
     struct map by_key;
-    struct map requests; /* waiters that are callers, by request */
-    struct timers due;
-    struct timers kept; /* ended jobs, by when their answer goes */
-    struct table past;
-    struct map past_by_key;
-    struct timers past_due;
+    struct map waiters_by_request; /* waiters that are callers, by request */
+    struct timers job_timers;
+    struct timers answer_timers; /* ended jobs, by when their answer goes */
+    struct table used_keys;
+    struct map used_keys_by_id;
+    struct timers used_keys_due;
     size_t n_active;
     size_t answer_bytes;
-    uint64_t minted;
+    uint64_t n_keys_minted;
 };
 
 /** job_add() - a new job that waits for its claim; a query is not found by its
@@ -43,20 +43,21 @@
 /** job_free_tasks() - an ended or joined job needs none */
 void job_free_tasks(struct job *job);
 
-/** job_due() - sets its next timer */
-void job_due(struct entry *e, struct job *job, int64_t at_us);
+/** job_set_timer() - sets its next timer */
+void job_set_timer(struct entry *e, struct job *job, int64_t at_us);
 
-/** job_past() - what is left of an ended job, or NULL */
-const struct past *job_past(const struct entry *e, struct key_id id);
+/** job_find_used_key() - what is left of an ended job, or NULL */
+const struct past *job_find_used_key(const struct entry *e, struct key_id id);
 
-/** job_answer_begin() - an answer of @n_tasks tasks, all not run */
-struct job_answer *job_answer_begin(size_t n_tasks, enum job_status status,
-                                    enum reason reason);
-
-/** job_failed_answer() - the answer if the job were given up now */
-struct job_answer *job_failed_answer(struct entry *e, const struct job *job,
+/** job_answer_create() - an answer of @n_tasks tasks, all not run */
+struct job_answer *job_answer_create(size_t n_tasks, enum job_status status,
                                      enum reason reason);
 
+/** job_build_failed_answer() - the answer if the job were given up now */
+struct job_answer *job_build_failed_answer(struct entry *e,
+                                           const struct job *job,
+                                           enum reason reason);
+
 /** job_end() - takes over the answer and gives it to everybody who waits */
 void job_end(struct entry *e, struct job *job, struct job_answer *answer);
 
@@ -65,30 +66,31 @@
 void job_add_ended(struct entry *e, struct key_id id, uint64_t digest,
                    struct job_answer *answer, int64_t left_us);
 
-/** job_answer_sound() - whether an answer that came in a message is whole */
-bool job_answer_sound(uint64_t status, uint64_t reason,
+/** job_answer_valid() - whether an answer that came in a message is whole */
+bool job_answer_valid(uint64_t status, uint64_t reason,
                       const struct rec_task_answer *tasks, size_t n_tasks);
 
-/** job_answer_read() - the answer of a message */
-struct job_answer *job_answer_read(uint64_t status, uint64_t reason,
-                                   const struct rec_task_answer *tasks,
-                                   size_t n_tasks);
+/** job_answer_decode() - the answer of a message */
+struct job_answer *job_answer_decode(uint64_t status, uint64_t reason,
+                                     const struct rec_task_answer *tasks,
+                                     size_t n_tasks);
 
 /** job_refuse() - refuses everybody who waits and forgets the job */
 void job_refuse(struct entry *e, struct job *job, const struct ef_problem *p,
                 enum wait_outcome outcome);
 
-/** job_refuse_plain() - the same, saying that this request started nothing */
-void job_refuse_plain(struct entry *e, struct job *job, enum problem problem,
-                      int64_t retry_after_us, enum wait_outcome outcome,
-                      const char *detail);
+/** job_refuse_not_started() - the same, saying that this request started
+ * nothing */
+void job_refuse_not_started(struct entry *e, struct job *job,
+                            enum problem problem, int64_t retry_after_us,
+                            enum wait_outcome outcome, const char *detail);
 
-/** job_unknown() - answers that nobody can tell what its claimer started, and
- * forgets the job */
-void job_unknown(struct entry *e, struct job *job, enum reason reason);
+/** job_end_unknown() - answers that nobody can tell what its claimer started,
+ * and forgets the job */
+void job_end_unknown(struct entry *e, struct job *job, enum reason reason);
 
-/** job_join() - one more waiter for a job that is here already */
-void job_join(struct entry *e, struct job *job, const struct waiter *w);
+/** job_add_waiter() - one more waiter for a job that is here already */
+void job_add_waiter(struct entry *e, struct job *job, const struct waiter *w);
 
 /** job_cancel() - cancels a job that is here */
 void job_cancel(struct entry *e, struct job *job);
@@ -99,11 +101,11 @@
 /** job_send_wait() - asks the claimer for the answer */
 void job_send_wait(struct entry *e, struct job *job);
 
-/** job_wait_again() - asks again, or finds the claimer gone */
-void job_wait_again(struct entry *e, struct job *job);
+/** job_retry_wait() - asks again, or finds the claimer gone */
+void job_retry_wait(struct entry *e, struct job *job);
 
-/** job_join_claimer() - the key is claimed elsewhere: waits there */
-void job_join_claimer(struct entry *e, struct job *job,
-                      const struct claim_result *r);
+/** job_wait_at_claimer() - the key is claimed elsewhere: waits there */
+void job_wait_at_claimer(struct entry *e, struct job *job,
+                         const struct claim_result *r);
 
 #endif
--- a/src/jobs.c
+++ b/src/jobs.c
@@ -19,9 +19,9 @@
     }
     table_init(&j->table, sizeof(struct job));
     map_init(&j->by_key, MAP_KEY_ID);
-    map_init(&j->requests, MAP_U64);
-    table_init(&j->past, sizeof(struct past));
-    map_init(&j->past_by_key, MAP_KEY_ID);
+    map_init(&j->waiters_by_request, MAP_U64);
+    table_init(&j->used_keys, sizeof(struct past));
+    map_init(&j->used_keys_by_id, MAP_KEY_ID);
     return j;
 }
 
@@ -42,7 +42,7 @@
 kept_size(const struct job *job)
 {
     const struct job_answer *a = job->answer;
-    size_t size = sizeof(*job) + explain_size(job) + sizeof(*a) +
+    size_t size = sizeof(*job) + explain_bytes(job) + sizeof(*a) +
                   a->n_tasks * sizeof(*a->tasks);
 
     for (size_t i = 0; i < a->n_tasks; i++) {
@@ -67,14 +67,14 @@
 {
     struct jobs *j = e->jobs;
 
-    waiters_drop(&j->requests, job);
+    waiters_free(&j->waiters_by_request, job);
     job_free_tasks(job);
-    explain_forget(job);
+    explain_clear(job);
     drop_answer(j, job);
     if (job->phase != JOB_ENDED) {
         j->n_active--;
     }
-    if (!job->query) {
+    if (!job->is_query) {
         (void)map_remove(&j->by_key, &job->id);
     }
     table_remove(&j->table, job->self);
@@ -90,24 +90,24 @@
         return;
     }
     while ((job = table_next(&j->table, &at, NULL)) != NULL) {
-        waiters_drop(&j->requests, job);
+        waiters_free(&j->waiters_by_request, job);
         job_free_tasks(job);
-        explain_forget(job);
+        explain_clear(job);
         job_answer_free(job->answer);
     }
     table_clear(&j->table);
     map_clear(&j->by_key);
-    map_clear(&j->requests);
-    timers_clear(&j->due);
-    timers_clear(&j->kept);
-    table_clear(&j->past);
-    map_clear(&j->past_by_key);
-    timers_clear(&j->past_due);
+    map_clear(&j->waiters_by_request);
+    timers_clear(&j->job_timers);
+    timers_clear(&j->answer_timers);
+    table_clear(&j->used_keys);
+    map_clear(&j->used_keys_by_id);
+    timers_clear(&j->used_keys_due);
     free(j);
 }
 
 struct job *
-jobs_of(const struct entry *e, struct handle h)
+jobs_by_handle(const struct entry *e, struct handle h)
 {
     return table_get(&e->jobs->table, h);
 }
@@ -125,7 +125,7 @@
 }
 
 size_t
-jobs_active(const struct entry *e)
+jobs_count_active(const struct entry *e)
 {
     return e->jobs->n_active;
 }
@@ -137,25 +137,25 @@
 }
 
 const struct past *
-job_past(const struct entry *e, struct key_id id)
+job_find_used_key(const struct entry *e, struct key_id id)
 {
-    return map_get(&e->jobs->past_by_key, &id);
+    return map_get(&e->jobs->used_keys_by_id, &id);
 }
 
 bool
-jobs_claimed(const struct entry *e, struct key_id id)
+jobs_holds_key(const struct entry *e, struct key_id id)
 {
     const struct job *job = jobs_by_key(e, id);
 
-    return job_past(e, id) != NULL ||
+    return job_find_used_key(e, id) != NULL ||
            (job != NULL && job->phase != JOB_JOINED);
 }
 
 void
-job_due(struct entry *e, struct job *job, int64_t at_us)
+job_set_timer(struct entry *e, struct job *job, int64_t at_us)
 {
-    job->due_us = at_us;
-    timers_add(&e->jobs->due, at_us, job->self);
+    job->next_timer_us = at_us;
+    timers_add(&e->jobs->job_timers, at_us, job->self);
 }
 
 struct job *
@@ -169,7 +169,7 @@
     job->key = *key;
     job->phase = JOB_CLAIMING;
     job->submitted_us = e->now.mono_us;
-    job->query = query;
+    job->is_query = query;
     if (!query) {
         map_put(&e->jobs->by_key, job);
     }
@@ -184,13 +184,13 @@
 {
     struct jobs *j = e->jobs;
     struct handle h;
-    struct past *p = table_add(&j->past, &h);
+    struct past *p = table_add(&j->used_keys, &h);
 
     p->id = job->id;
     p->self = h;
     p->digest = job->digest;
-    map_put(&j->past_by_key, p);
-    timers_add(&j->past_due,
+    map_put(&j->used_keys_by_id, p);
+    timers_add(&j->used_keys_due,
                job->ended_us + e->opts.claim_window_us +
                    2 * e->opts.clock_skew_us,
                h);
@@ -204,7 +204,7 @@
     struct handle h;
 
     while (j->answer_bytes > e->opts.answer_keep_bytes &&
-           timers_pop(&j->kept, INT64_MAX, &h)) {
+           timers_pop(&j->answer_timers, INT64_MAX, &h)) {
         struct job *job = table_get(&j->table, h);
 
         if (job != NULL) {
@@ -221,7 +221,8 @@
 
     job->kept_bytes = kept_size(job);
     j->answer_bytes += job->kept_bytes;
-    timers_add(&j->kept, job->ended_us + e->opts.answer_keep_us, job->self);
+    timers_add(&j->answer_timers, job->ended_us + e->opts.answer_keep_us,
+               job->self);
     bound_answers(e);
 }
 
@@ -255,7 +256,7 @@
               "%s after %lld us, %zu tasks",
               answer->status == JOB_COMPLETE ? "complete" : "failed",
               (long long)(job->ended_us - job->submitted_us), answer->n_tasks);
-    waiters_answer(e, &j->requests, job, answer);
+    waiters_answer(e, &j->waiters_by_request, job, answer);
     keep_answer(e, job);
 }
 
@@ -277,7 +278,7 @@
 }
 
 struct job_answer *
-job_answer_begin(size_t n_tasks, enum job_status status, enum reason reason)
+job_answer_create(size_t n_tasks, enum job_status status, enum reason reason)
 {
     struct job_answer *a = job_answer_new(n_tasks);
 
@@ -304,9 +305,10 @@
 }
 
 struct job_answer *
-job_failed_answer(struct entry *e, const struct job *job, enum reason reason)
+job_build_failed_answer(struct entry *e, const struct job *job,
+                        enum reason reason)
 {
-    struct job_answer *a = job_answer_begin(job->n_tasks, JOB_FAILED, reason);
+    struct job_answer *a = job_answer_create(job->n_tasks, JOB_FAILED, reason);
 
     for (uint32_t i = 0; job->tasks != NULL && i < job->n_tasks; i++) {
         a->tasks[i].state =
@@ -327,8 +329,8 @@
     if (job->phase != JOB_ACTIVE) {
         return;
     }
-    a = job_failed_answer(e, job, reason);
-    dispatch_forget(e, job);
+    a = job_build_failed_answer(e, job, reason);
+    dispatch_drop_job(e, job);
     job_end(e, job, a);
 }
 
@@ -336,7 +338,7 @@
 job_complete(struct entry *e, struct job *job)
 {
     struct job_answer *a =
-        job_answer_begin(job->n_tasks, JOB_COMPLETE, REASON_COMPLETED);
+        job_answer_create(job->n_tasks, JOB_COMPLETE, REASON_COMPLETED);
 
     for (uint32_t i = 0; i < job->n_tasks; i++) {
         uint32_t from = MUTANT(e, MIX_RESULTS) ? job->n_tasks - 1 - i : i;
@@ -345,7 +347,7 @@
         a->tasks[i].ok = job->tasks[i].ok;
         a->tasks[i].result = blob_ref(job->tasks[from].result);
     }
-    dispatch_forget(e, job);
+    dispatch_drop_job(e, job);
     job_end(e, job, a);
 }
 
@@ -378,19 +380,19 @@
 job_refuse(struct entry *e, struct job *job, const struct ef_problem *p,
            enum wait_outcome outcome)
 {
-    e->counters.jobs_refused += job->query ? 0 : 1;
-    waiters_refuse(e, &e->jobs->requests, job, p, outcome);
+    e->counters.jobs_refused += job->is_query ? 0 : 1;
+    waiters_refuse(e, &e->jobs->waiters_by_request, job, p, outcome);
     job_remove(e, job);
 }
 
 void
-job_refuse_plain(struct entry *e, struct job *job, enum problem problem,
-                 int64_t retry_after_us, enum wait_outcome outcome,
-                 const char *detail)
+job_refuse_not_started(struct entry *e, struct job *job, enum problem problem,
+                       int64_t retry_after_us, enum wait_outcome outcome,
+                       const char *detail)
 {
     struct ef_problem p = {.problem = problem,
                            .retry_after_us = retry_after_us,
-                           .not_by_this = true};
+                           .request_started_nothing = true};
 
     p.not_run = MUTANT(e, UNCLAIMED_NOT_RUN);
     (void)snprintf(p.detail, sizeof(p.detail), "%s", detail);
@@ -398,30 +400,30 @@
 }
 
 void
-job_unknown(struct entry *e, struct job *job, enum reason reason)
+job_end_unknown(struct entry *e, struct job *job, enum reason reason)
 {
-    struct job_answer *a = job_answer_begin(job->n_tasks, JOB_FAILED, reason);
+    struct job_answer *a = job_answer_create(job->n_tasks, JOB_FAILED, reason);
 
     for (uint32_t i = 0; i < job->n_tasks; i++) {
         a->tasks[i].state = TASK_UNKNOWN;
         e->counters.tasks_unknown++;
     }
     count_end(e, a);
-    waiters_answer(e, &e->jobs->requests, job, a);
+    waiters_answer(e, &e->jobs->waiters_by_request, job, a);
     job_answer_free(a);
     job_remove(e, job);
 }
 
 /* One more caller for a job that is here already. */
 void
-job_join(struct entry *e, struct job *job, const struct waiter *w)
+job_add_waiter(struct entry *e, struct job *job, const struct waiter *w)
 {
-    waiters_add(&e->jobs->requests, job, w);
+    waiters_add(&e->jobs->waiters_by_request, job, w);
     if (job->phase == JOB_ENDED) {
-        waiters_answer(e, &e->jobs->requests, job, job->answer);
+        waiters_answer(e, &e->jobs->waiters_by_request, job, job->answer);
     }
     else if (job->phase != JOB_CLAIMING) {
-        waiters_accepted(e, &e->jobs->requests, job);
+        waiters_notify_accepted(e, &e->jobs->waiters_by_request, job);
     }
 }
 
@@ -435,9 +437,9 @@
 void
 job_cancel(struct entry *e, struct job *job)
 {
-    bool first = !job->cancel;
+    bool first = !job->cancel_requested;
 
-    job->cancel = true;
+    job->cancel_requested = true;
     if (job->phase == JOB_ACTIVE) {
         jobs_fail(e, job, REASON_CANCELLED);
     }
@@ -460,7 +462,7 @@
     }
     if (a.admitted) {
         job->phase = JOB_ACTIVE;
-        waiters_accepted(e, &e->jobs->requests, job);
+        waiters_notify_accepted(e, &e->jobs->waiters_by_request, job);
         dispatch_enqueue(e, job);
         return;
     }
@@ -482,14 +484,14 @@
     entry_log(e, LOG_DEBUG, REASON_CLAIM_WON, &job->id, -1, name_of(""),
               "after %lld us",
               (long long)(e->now.mono_us - job->submitted_us));
-    if (job->cancel || job->purpose == CLAIM_CANCEL) {
+    if (job->cancel_requested || job->purpose == CLAIM_CANCEL) {
         end = REASON_CANCELLED;
     }
     else if (e->now.mono_us >= job->deadline_us) {
         end = REASON_DEADLINE;
     }
     if (end != REASON_NONE) {
-        job_end(e, job, job_failed_answer(e, job, end));
+        job_end(e, job, job_build_failed_answer(e, job, end));
         return;
     }
     job_start(e, job);
@@ -501,11 +503,11 @@
     if (job->digest != 0 && r->digest != 0 && job->digest != r->digest) {
         entry_log(e, LOG_INFO, REASON_KEY_CONFLICT, &job->id, -1, r->claimer,
                   "claimed there with another body");
-        job_refuse_plain(e, job, PROBLEM_CONFLICT, 0, WAIT_RELEASED,
-                         "the key was used with another body");
+        job_refuse_not_started(e, job, PROBLEM_CONFLICT, 0, WAIT_RELEASED,
+                               "the key was used with another body");
         return;
     }
-    job_join_claimer(e, job, r);
+    job_wait_at_claimer(e, job, r);
 }
 
 static void
@@ -514,34 +516,34 @@
     entry_log(e, LOG_WARNING, REASON_CLAIM_UNAVAILABLE, &job->id, -1,
               job->key.zone, "after %lld us",
               (long long)(e->now.mono_us - job->submitted_us));
-    job_refuse_plain(e, job, PROBLEM_NO_CLAIM,
-                     entry_jitter(e, e->opts.member_timeout_us / 2),
-                     WAIT_RELEASED, "no majority of the key's voters");
+    job_refuse_not_started(e, job, PROBLEM_NO_CLAIM,
+                           entry_jitter(e, e->opts.member_timeout_us / 2),
+                           WAIT_RELEASED, "no majority of the key's voters");
 }
 
 void
 jobs_claim_result(struct entry *e, struct handle handle,
                   const struct claim_result *r)
 {
-    struct job *job = jobs_of(e, handle);
+    struct job *job = jobs_by_handle(e, handle);
 
     if (job == NULL || job->phase != JOB_CLAIMING) {
         return;
     }
-    switch (r->end) {
-    case CLAIM_END_WON:
+    switch (r->outcome) {
+    case CLAIM_OUTCOME_WON:
         on_won(e, job);
         break;
-    case CLAIM_END_OTHER:
+    case CLAIM_OUTCOME_TAKEN:
         on_other(e, job, r);
         break;
-    case CLAIM_END_ABSENT:
-        job_refuse_plain(e, job, PROBLEM_UNKNOWN_JOB, 0, WAIT_RELEASED,
-                         "no voter of the key's zone knows it");
+    case CLAIM_OUTCOME_ABSENT:
+        job_refuse_not_started(e, job, PROBLEM_UNKNOWN_JOB, 0, WAIT_RELEASED,
+                               "no voter of the key's zone knows it");
         break;
-    case CLAIM_END_TOO_OLD:
-        job_refuse_plain(e, job, PROBLEM_KEY_TOO_OLD, 0, WAIT_RELEASED,
-                         "the key's window is over");
+    case CLAIM_OUTCOME_TOO_OLD:
+        job_refuse_not_started(e, job, PROBLEM_KEY_TOO_OLD, 0, WAIT_RELEASED,
+                               "the key's window is over");
         break;
     default:
         on_unavailable(e, job);
@@ -568,7 +570,7 @@
         on_unavailable(e, job);
         break;
     case JOB_JOINED:
-        job_wait_again(e, job);
+        job_retry_wait(e, job);
         break;
     case JOB_ACTIVE:
         jobs_fail(e, job, REASON_DEADLINE);
@@ -584,12 +586,12 @@
     struct jobs *j = e->jobs;
     struct handle h;
 
-    while (timers_pop(&j->past_due, e->now.mono_us, &h)) {
-        struct past *p = table_get(&j->past, h);
+    while (timers_pop(&j->used_keys_due, e->now.mono_us, &h)) {
+        struct past *p = table_get(&j->used_keys, h);
 
         if (p != NULL) {
-            (void)map_remove(&j->past_by_key, &p->id);
-            table_remove(&j->past, h);
+            (void)map_remove(&j->used_keys_by_id, &p->id);
+            table_remove(&j->used_keys, h);
         }
     }
 }
@@ -601,13 +603,13 @@
     struct handle h;
     struct job *job;
 
-    while (timers_pop(&j->due, e->now.mono_us, &h)) {
+    while (timers_pop(&j->job_timers, e->now.mono_us, &h)) {
         job = table_get(&j->table, h);
-        if (job != NULL && job->due_us <= e->now.mono_us) {
+        if (job != NULL && job->next_timer_us <= e->now.mono_us) {
             job_timer(e, job);
         }
     }
-    while (timers_pop(&j->kept, e->now.mono_us, &h)) {
+    while (timers_pop(&j->answer_timers, e->now.mono_us, &h)) {
         job = table_get(&j->table, h);
         if (job != NULL) {
             forget_answer(e, job);
@@ -620,9 +622,9 @@
 jobs_next_us(const struct entry *e)
 {
     const struct jobs *j = e->jobs;
-    int64_t next = timers_next_us(&j->due);
-    int64_t kept = timers_next_us(&j->kept);
-    int64_t past = timers_next_us(&j->past_due);
+    int64_t next = timers_next_us(&j->job_timers);
+    int64_t kept = timers_next_us(&j->answer_timers);
+    int64_t past = timers_next_us(&j->used_keys_due);
 
     next = kept < next ? kept : next;
     return past < next ? past : next;
--- a/src/jobs.h
+++ b/src/jobs.h
@@ -53,7 +53,7 @@
     uint32_t n_sent;   /* kept by dispatch.c */
     uint32_t n_ended;
     int64_t work_left_us;      /* expected run time of what has not ended */
-    void *queue_place;         /* of dispatch.c */
+    void *queue_entry;         /* of dispatch.c */
     struct job_answer *answer; /* while kept */
     enum job_status status;
     enum reason reason;
@@ -63,18 +63,20 @@
     struct waiter *waiters; /* of jobs.c: callers and instances */
     struct name claimer;    /* JOB_JOINED */
     uint64_t claimer_incarnation;
-    bool moved; /* the claimer named is a successor that keeps its answers */
-    int64_t due_us;  /* monotonic: its next timer */
-    int64_t lost_us; /* JOB_JOINED: when a claimer never met is lost */
-    bool query;      /* asks for a key without submitting; not in the map */
-    bool peek;       /* the query wants to know, not to wait */
-    bool cancel;     /* cancelled while the claim is not decided */
+    bool at_successor;     /* the claimer named is a successor that keeps its
+                              answers */
+    int64_t next_timer_us; /* monotonic: its next timer */
+    int64_t
+        claimer_lost_at_us; /* JOB_JOINED: when a claimer never met is lost */
+    bool is_query; /* asks for a key without submitting; not in the map */
+    bool no_wait;  /* the query wants to know, not to wait */
+    bool cancel_requested; /* cancelled while the claim is not decided */
 };
 
 struct jobs *jobs_new(const struct entry *e);
 void jobs_free(struct jobs *j);
 
-struct job *jobs_of(const struct entry *e, struct handle h);
+struct job *jobs_by_handle(const struct entry *e, struct handle h);
 struct job *jobs_by_key(const struct entry *e, struct key_id id);
 struct job *jobs_next(const struct entry *e, uint32_t *at);
 
@@ -82,7 +84,7 @@
 void jobs_get(struct entry *e, const struct ev_query *ev);
 void jobs_cancel(struct entry *e, const struct ev_query *ev);
 void jobs_caller_gone(struct entry *e, uint64_t request);
-void jobs_mint(struct entry *e, const struct ev_mint *ev);
+void jobs_mint_keys(struct entry *e, const struct ev_mint *ev);
 
 /** jobs_on_message() - JOB_WAIT and JOB_ANSWER */
 void jobs_on_message(struct entry *e, struct name from, const struct msg *m);
@@ -110,12 +112,12 @@
 void jobs_tick(struct entry *e);
 int64_t jobs_next_us(const struct entry *e);
 
-/** jobs_claimed() - whether this incarnation has the key or is asking for it,
- * so that a late grant belongs to it */
-bool jobs_claimed(const struct entry *e, struct key_id id);
+/** jobs_holds_key() - whether this incarnation has the key or is asking for
+ * it, so that a late grant belongs to it */
+bool jobs_holds_key(const struct entry *e, struct key_id id);
 
-/** jobs_active() - jobs that still owe somebody an answer */
-size_t jobs_active(const struct entry *e);
+/** jobs_count_active() - jobs that still owe somebody an answer */
+size_t jobs_count_active(const struct entry *e);
 /** jobs_answer_bytes() - memory of ended jobs whose answers are kept */
 size_t jobs_answer_bytes(const struct entry *e);
 
--- a/src/lend.c
+++ b/src/lend.c
@@ -69,7 +69,7 @@
 static int64_t
 spared(const struct entry *e, int64_t us)
 {
-    return e->opts.spare_messages ? us * SPARE_TIMES : us;
+    return e->opts.fewer_messages ? us * SPARE_TIMES : us;
 }
 
 /** debtor_of() - what a borrower has of a service's slots */
@@ -166,7 +166,7 @@
     struct lent *l = table_add(&ls->lents, &h);
 
     l->self = h;
-    l->grant = entry_new_call(e);
+    l->grant = entry_new_call_id(e);
     l->upstream = u->self;
     l->borrower = borrower;
     l->slots = slots;
@@ -199,7 +199,7 @@
     for (;;) {
         struct place *p = pool_pick(e, &s->pool, &pick);
 
-        if (p == NULL || place_own(p)) {
+        if (p == NULL || place_is_own(p)) {
             return p;
         }
         /* Borrowed slots are not lent on: they are idle, so they go back. */
@@ -239,7 +239,7 @@
         if (p == NULL) {
             break;
         }
-        slots = share(place_fits(e, p, need), count - given);
+        slots = share(place_task_capacity(e, p, need), count - given);
         lend(e, p, to, need, slots, &sg->grants[sg->n_grants++]);
         given += slots;
     }
@@ -247,7 +247,7 @@
         msg_free(&m);
         return 0;
     }
-    sg->free_slots = s->pool.own_free;
+    sg->free_slots = s->pool.own_free_slots;
     entry_send(e, to, &m);
     return given;
 }
@@ -317,7 +317,7 @@
 lends_on_request(struct entry *e, struct name from,
                  const struct rec_slot_request *r)
 {
-    struct service_state *s = dispatch_service(e, r->service);
+    struct service_state *s = dispatch_ensure_service(e, r->service);
     struct resources need = {(uint32_t)r->cpu_milli, (uint32_t)r->memory_mb,
                              (uint32_t)r->accelerators};
     uint32_t count =
--- a/src/member.c
+++ b/src/member.c
@@ -226,7 +226,7 @@
     hb->config_version = entry_config_version(e);
     if (loads) {
         hb->has_loads = 1;
-        hb->n_loads = dispatch_loads(e, &hb->loads);
+        hb->n_loads = dispatch_collect_loads(e, &hb->loads);
     }
     if (renewed && mm->n_renewed > 0) {
         hb->renewed = calloc(mm->n_renewed, sizeof(*hb->renewed));
--- a/src/place.c
+++ b/src/place.c
@@ -18,9 +18,9 @@
 #define BLOCK_US (10 * USEC_PER_MSEC)
 
 bool
-place_own(const struct place *p)
+place_is_own(const struct place *p)
 {
-    return p->grant == 0;
+    return p->grant_id == 0;
 }
 
 static uint32_t
@@ -36,21 +36,21 @@
 }
 
 uint32_t
-place_free(const struct entry *e, const struct place *p)
+place_free_slots(const struct entry *e, const struct place *p)
 {
-    if (p->closed || p->blocked_us > e->now.mono_us) {
+    if (p->closed || p->blocked_until_us > e->now.mono_us) {
         return 0;
     }
-    if (place_own(p)) {
+    if (place_is_own(p)) {
         return free_of_own(e, p->upstream);
     }
-    if (p->expires_us <= e->now.mono_us || p->used >= p->slots) {
+    if (p->expires_us <= e->now.mono_us || p->slots_used >= p->slots) {
         return 0;
     }
     if (p->upstream != NULL && p->upstream->info.leaving) {
         return 0;
     }
-    return p->slots - p->used;
+    return p->slots - p->slots_used;
 }
 
 static uint64_t
@@ -80,17 +80,18 @@
 }
 
 uint32_t
-place_fits(const struct entry *e, const struct place *p, struct resources need)
+place_task_capacity(const struct entry *e, const struct place *p,
+                    struct resources need)
 {
-    uint32_t n = place_free(e, p);
+    uint32_t n = place_free_slots(e, p);
 
     if (n == 0) {
         return 0;
     }
-    if (place_own(p)) {
+    if (place_is_own(p)) {
         return (uint32_t)least(n, resources_times(p->upstream, need));
     }
-    return resources_fit(need, p->each) ? n : 0;
+    return resources_fit(need, p->slot_size) ? n : 0;
 }
 
 /* Lists by level */
@@ -101,13 +102,13 @@
     const struct upstream *u = p->upstream;
     uint32_t level = 0;
 
-    if (place_own(p)) {
+    if (place_is_own(p)) {
         uint32_t usable = upstreams_usable(u);
 
         if (u->info.quarantined) {
             return 0; /* a probe is due: the next task that may goes there */
         }
-        level = (usable - place_free(e, p)) * LOAD_LEVELS / usable;
+        level = (usable - place_free_slots(e, p)) * LOAD_LEVELS / usable;
     }
     else if (!name_equal(p->zone, e->zone)) {
         level = FAR_LEVEL;
@@ -127,17 +128,17 @@
         return;
     }
     if (p->next == p) {
-        pool->first[p->level] = NULL;
+        pool->level_lists[p->level] = NULL;
     }
     else {
         p->next->previous = p->previous;
         p->previous->next = p->next;
-        if (pool->first[p->level] == p) {
-            pool->first[p->level] = p->next;
+        if (pool->level_lists[p->level] == p) {
+            pool->level_lists[p->level] = p->next;
         }
     }
     p->listed = false;
-    pool->n_listed--;
+    pool->n_available--;
 }
 
 /** list_last() - the last of its level, so that equals take turns */
@@ -145,15 +146,15 @@
 list_last(struct place *p, uint8_t level)
 {
     struct pool *pool = p->pool;
-    struct place *first = pool->first[level];
+    struct place *first = pool->level_lists[level];
 
     p->level = level;
     p->listed = true;
-    pool->n_listed++;
+    pool->n_available++;
     if (first == NULL) {
         p->next = p;
         p->previous = p;
-        pool->first[level] = p;
+        pool->level_lists[level] = p;
         return;
     }
     p->next = first;
@@ -165,30 +166,30 @@
 void
 place_update(struct entry *e, struct place *p)
 {
-    uint32_t n = place_free(e, p);
+    uint32_t n = place_free_slots(e, p);
 
     unlist(p);
     if (n > 0) {
         list_last(p, level_of(e, p));
     }
-    if (place_own(p)) {
-        p->pool->own_free += n - p->counted;
-        p->counted = n;
+    if (place_is_own(p)) {
+        p->pool->own_free_slots += n - p->counted_free;
+        p->counted_free = n;
     }
 }
 
 int64_t
-place_next_us(const struct entry *e, const struct place *p)
+place_available_at_us(const struct entry *e, const struct place *p)
 {
     int64_t probe_us;
 
     if (p->closed || p->listed) {
         return INT64_MAX;
     }
-    if (p->blocked_us > e->now.mono_us) {
-        return p->blocked_us;
+    if (p->blocked_until_us > e->now.mono_us) {
+        return p->blocked_until_us;
     }
-    if (!place_own(p)) {
+    if (!place_is_own(p)) {
         return INT64_MAX;
     }
     probe_us = health_next_us(p->upstream);
@@ -200,7 +201,7 @@
 {
     int64_t us = BLOCK_US << p->refusals;
 
-    p->blocked_us = e->now.mono_us + entry_jitter(e, us);
+    p->blocked_until_us = e->now.mono_us + entry_jitter(e, us);
     if (p->refusals < REFUSALS_COUNT) {
         p->refusals++;
     }
@@ -210,16 +211,18 @@
 void
 pool_add(struct entry *e, struct pool *pool, struct place *p)
 {
-    if (pool->n == pool->room) {
-        pool->room = pool->room == 0 ? POOL_START_ROOM : 2 * pool->room;
-        pool->all = realloc(pool->all, pool->room * sizeof(struct place *));
-        if (pool->all == NULL) {
+    if (pool->n_places == pool->capacity) {
+        pool->capacity =
+            pool->capacity == 0 ? POOL_START_ROOM : 2 * pool->capacity;
+        pool->all_places =
+            realloc(pool->all_places, pool->capacity * sizeof(struct place *));
+        if (pool->all_places == NULL) {
             abort();
         }
     }
     p->pool = pool;
-    p->at = pool->n;
-    pool->all[pool->n++] = p;
+    p->pool_index = pool->n_places;
+    pool->all_places[pool->n_places++] = p;
     place_update(e, p);
 }
 
@@ -227,17 +230,17 @@
 pool_remove(struct pool *pool, struct place *p)
 {
     unlist(p);
-    pool->own_free -= p->counted;
-    p->counted = 0;
-    pool->all[p->at] = pool->all[--pool->n];
-    pool->all[p->at]->at = p->at;
+    pool->own_free_slots -= p->counted_free;
+    p->counted_free = 0;
+    pool->all_places[p->pool_index] = pool->all_places[--pool->n_places];
+    pool->all_places[p->pool_index]->pool_index = p->pool_index;
     p->pool = NULL;
 }
 
 void
 pool_clear(struct pool *pool)
 {
-    free(pool->all);
+    free(pool->all_places);
     memset(pool, 0, sizeof(*pool));
 }
 
@@ -247,10 +250,10 @@
 acceptable(const struct entry *e, const struct place *p,
            const struct pick *pick)
 {
-    if (place_fits(e, p, pick->need) == 0) {
+    if (place_task_capacity(e, p, pick->need) == 0) {
         return false;
     }
-    if (place_own(p) && p->upstream->info.quarantined) {
+    if (place_is_own(p) && p->upstream->info.quarantined) {
         return health_probe_suits(e, p->upstream, pick->idempotent);
     }
     return true;
@@ -267,7 +270,7 @@
 
     do {
         if (acceptable(e, p, pick)) {
-            if ((p->rack & pick->racks) == 0) {
+            if ((p->rack_bit & pick->rack_bits) == 0) {
                 return p;
             }
             fits = fits != NULL ? fits : p;
@@ -284,10 +287,10 @@
     for (int level = 0; level < PLACE_LEVELS; level++) {
         struct place *p;
 
-        if (pool->first[level] == NULL) {
+        if (pool->level_lists[level] == NULL) {
             continue;
         }
-        p = pick_level(e, pool->first[level], pick);
+        p = pick_level(e, pool->level_lists[level], pick);
         if (p != NULL) {
             return p;
         }
@@ -298,17 +301,17 @@
 static struct place *
 any_of(struct entry *e, struct pool *pool)
 {
-    return pool->all[entry_random(e) % pool->n];
+    return pool->all_places[entry_random(e) % pool->n_places];
 }
 
 /** pick_in_turn() - the first that fits, from a random one on */
 static struct place *
 pick_in_turn(struct entry *e, struct pool *pool, const struct pick *pick)
 {
-    size_t from = entry_random(e) % pool->n;
+    size_t from = entry_random(e) % pool->n_places;
 
-    for (size_t i = 0; i < pool->n; i++) {
-        struct place *p = pool->all[(from + i) % pool->n];
+    for (size_t i = 0; i < pool->n_places; i++) {
+        struct place *p = pool->all_places[(from + i) % pool->n_places];
 
         if (acceptable(e, p, pick)) {
             return p;
@@ -322,7 +325,8 @@
 {
     struct place *a = any_of(e, pool);
     struct place *b = any_of(e, pool);
-    struct place *better = place_free(e, a) >= place_free(e, b) ? a : b;
+    struct place *better =
+        place_free_slots(e, a) >= place_free_slots(e, b) ? a : b;
 
     if (acceptable(e, better, pick)) {
         return better;
@@ -353,7 +357,7 @@
 struct place *
 pool_pick(struct entry *e, struct pool *pool, const struct pick *pick)
 {
-    if (pool->n_listed == 0) {
+    if (pool->n_available == 0) {
         return NULL;
     }
     return pickers[e->opts.placement](e, pool, pick);
--- a/src/place.h
+++ b/src/place.h
@@ -25,19 +25,20 @@
  * @address: of the upstream
  * @incarnation: of the upstream
  * @epoch: for starts
- * @grant: number given by the lender; 0 for a hold of our own
+ * @grant_id: number given by the lender; 0 for a hold of our own
  * @lender: who granted it
  * @slots: of the grant
- * @used: our starts in flight there
+ * @slots_used: our starts in flight there
  * @failures: in a row, told to the lender
- * @done: tasks that ran and succeeded, not told to the lender yet
- * @each: resources in each slot of the grant
+ * @unreported_successes: tasks that ran and succeeded, not told to the lender
+ * yet
+ * @slot_size: resources in each slot of the grant
  * @expires_us: no starts under the grant after that
- * @touched_us: last start or end
- * @blocked_us: no starts before that
+ * @last_used_us: last start or end
+ * @blocked_until_us: no starts before that
  * @refusals: in a row
  * @closed: no starts any more; returned when what runs has ended
- * @rack: bit of its rack in struct queued
+ * @rack_bit: bit of its rack in struct queued
  */
 struct place {
     struct handle self;
@@ -48,46 +49,46 @@
     struct address address;
     uint64_t incarnation;
     uint64_t epoch;
-    uint64_t grant;
+    uint64_t grant_id;
     struct name lender;
     uint32_t slots;
-    uint32_t used;
+    uint32_t slots_used;
     uint32_t failures;
-    uint32_t done;
-    struct resources each;
+    uint32_t unreported_successes;
+    struct resources slot_size;
     int64_t expires_us;
-    int64_t touched_us;
-    int64_t blocked_us;
+    int64_t last_used_us;
+    int64_t blocked_until_us;
     uint32_t refusals;
     bool closed;
     bool listed;
-    uint32_t counted; /* in the pool's own_free */
+    uint32_t counted_free; /* in the pool's own_free */
     uint8_t level;
-    uint64_t rack;
-    size_t at; /* in the pool's array */
+    uint64_t rack_bit;
+    size_t pool_index; /* in the pool's array */
     struct place *next;
     struct place *previous;
 };
 
 /** struct pool - the places of one service */
 struct pool {
-    struct place **all;
-    size_t n;
-    size_t room;
-    size_t n_listed;   /* places with a free slot */
-    uint32_t own_free; /* free slots at places that are not borrowed */
-    struct place *first[PLACE_LEVELS];
+    struct place **all_places;
+    size_t n_places;
+    size_t capacity;
+    size_t n_available;      /* places with a free slot */
+    uint32_t own_free_slots; /* free slots at places that are not borrowed */
+    struct place *level_lists[PLACE_LEVELS];
 };
 
 /**
  * struct pick - what a task asks of a place
  * @need: of the task
- * @racks: bits of racks that other tasks of its job are on
+ * @rack_bits: bits of racks that other tasks of its job are on
  * @idempotent: may be used to try a quarantined upstream early
  */
 struct pick {
     struct resources need;
-    uint64_t racks;
+    uint64_t rack_bits;
     bool idempotent;
 };
 
@@ -104,23 +105,26 @@
 /** pool_clear() - frees the arrays, not the places */
 void pool_clear(struct pool *pool);
 
-/** place_free() - slots a task may be started on now */
-uint32_t place_free(const struct entry *e, const struct place *p);
+/** place_free_slots() - slots a task may be started on now */
+uint32_t place_free_slots(const struct entry *e, const struct place *p);
 
-/** place_fits() - how many tasks of that need there is room for */
-uint32_t place_fits(const struct entry *e, const struct place *p,
-                    struct resources need);
+/** place_task_capacity() - how many tasks of that need there is room for */
+uint32_t place_task_capacity(const struct entry *e, const struct place *p,
+                             struct resources need);
 
-/** place_update() - to be called when what place_free() looks at changed */
+/** place_update() - to be called when what place_free_slots() looks at changed
+ */
 void place_update(struct entry *e, struct place *p);
 
-/** place_next_us() - when it may be used again, by itself; INT64_MAX if not */
-int64_t place_next_us(const struct entry *e, const struct place *p);
+/** place_available_at_us() - when it may be used again, by itself; INT64_MAX
+ * if not */
+int64_t place_available_at_us(const struct entry *e, const struct place *p);
 
 /** place_block() - no starts for a while, longer with each call in a row */
 void place_block(struct entry *e, struct place *p);
 
-/** place_own() - whether this instance holds the upstream, or needs no hold */
-bool place_own(const struct place *p);
+/** place_is_own() - whether this instance holds the upstream, or needs no hold
+ */
+bool place_is_own(const struct place *p);
 
 #endif
--- a/src/queue.c
+++ b/src/queue.c
@@ -16,7 +16,7 @@
 queue_rank_us(enum queue_order order, const struct queued *q, int64_t work_us)
 {
     int64_t handicap = HANDICAP_TIMES * work_us;
-    int64_t most = q->limit_us / HANDICAP_LIMIT_PART;
+    int64_t most = q->time_limit_us / HANDICAP_LIMIT_PART;
 
     if (order == ORDER_ARRIVAL) {
         return q->submitted_us;
@@ -37,7 +37,7 @@
 set_at(struct queue *qu, size_t i, struct queued *q)
 {
     qu->heap[i] = q;
-    q->at = i + 1;
+    q->heap_pos = i + 1;
 }
 
 static void
@@ -84,11 +84,11 @@
 static void
 grow(struct queue *qu)
 {
-    if (qu->n < qu->room) {
+    if (qu->n < qu->capacity) {
         return;
     }
-    qu->room = qu->room == 0 ? QUEUE_START_ROOM : 2 * qu->room;
-    qu->heap = realloc(qu->heap, qu->room * sizeof(struct queued *));
+    qu->capacity = qu->capacity == 0 ? QUEUE_START_ROOM : 2 * qu->capacity;
+    qu->heap = realloc(qu->heap, qu->capacity * sizeof(struct queued *));
     if (qu->heap == NULL) {
         abort();
     }
@@ -99,36 +99,36 @@
 {
     size_t i;
 
-    if (q->at == 0) {
+    if (q->heap_pos == 0) {
         grow(qu);
         if (q->sequence == 0) {
             q->sequence = ++qu->last_sequence;
         }
         set_at(qu, qu->n++, q);
     }
-    i = q->at - 1;
+    i = q->heap_pos - 1;
     sift_up(qu, i);
-    sift_down(qu, q->at - 1);
+    sift_down(qu, q->heap_pos - 1);
 }
 
 void
 queue_remove(struct queue *qu, struct queued *q)
 {
-    size_t i = q->at;
+    size_t i = q->heap_pos;
     struct queued *last;
 
     if (i == 0) {
         return;
     }
     i--;
-    q->at = 0;
+    q->heap_pos = 0;
     last = qu->heap[--qu->n];
     if (last == q) {
         return;
     }
     set_at(qu, i, last);
     sift_up(qu, i);
-    sift_down(qu, last->at - 1);
+    sift_down(qu, last->heap_pos - 1);
 }
 
 struct queued *
--- a/src/queue.h
+++ b/src/queue.h
@@ -23,35 +23,35 @@
  * @job: its handle
  * @service: whose queue it belongs to
  * @submitted_us: monotonic
- * @limit_us: from submission to deadline
+ * @time_limit_us: from submission to deadline
  * @rank_us: smaller goes first
  * @sequence: decides between equal ranks, in order of arrival
- * @at: place in the heap plus one; 0 while it is not in
+ * @heap_pos: place in the heap plus one; 0 while it is not in
  * @declared_us: of the queued tasks, together
- * @class: of its work when it came, see admit.c
- * @racks: bits of the racks its tasks were started on, see place.h
- * @n: queued tasks
+ * @work_class: of its work when it came, see admit.c
+ * @rack_bits: bits of the racks its tasks were started on, see place.h
+ * @n_tasks: queued tasks
  * @tasks: their numbers; the last goes first
  */
 struct queued {
     struct handle job;
     struct service_state *service;
     int64_t submitted_us;
-    int64_t limit_us;
+    int64_t time_limit_us;
     int64_t rank_us;
     uint64_t sequence;
-    size_t at;
+    size_t heap_pos;
     int64_t declared_us;
-    uint8_t class;
-    uint64_t racks;
-    uint32_t n;
+    uint8_t work_class;
+    uint64_t rack_bits;
+    uint32_t n_tasks;
     uint8_t tasks[];
 };
 
 struct queue {
     struct queued **heap;
     size_t n;
-    size_t room;
+    size_t capacity;
     uint64_t last_sequence;
 };
 
--- a/src/quota.c
+++ b/src/quota.c
@@ -75,7 +75,7 @@
         const struct service_state *s = d->services[i];
 
         if (concerns(e, q, s->name)) {
-            wanted += (double)s->running + (double)s->queued;
+            wanted += (double)s->n_running + (double)s->n_queued;
         }
     }
     for (size_t i = 0; !m->self && i < m->n_loads; i++) {
@@ -248,15 +248,15 @@
     struct quotas *qs = e->dispatch->quotas;
 
     s->quota = quota_find(qs, s->name, false);
-    s->team = NULL;
+    s->team_quota = NULL;
     if (s->conf != NULL) {
-        s->team = quota_find(qs, s->conf->team, true);
+        s->team_quota = quota_find(qs, s->conf->team, true);
     }
     if (s->quota != NULL) {
-        s->quota->running += s->running;
+        s->quota->running += s->n_running;
     }
-    if (s->team != NULL) {
-        s->team->running += s->running;
+    if (s->team_quota != NULL) {
+        s->team_quota->running += s->n_running;
     }
 }
 
@@ -315,8 +315,8 @@
     if (q->rate > 0) {
         double wait_s = (1 - q->tokens) / q->rate;
 
-        dispatch_wake_at(e, e->now.mono_us + 1 +
-                                (int64_t)(wait_s * USEC_PER_SEC));
+        dispatch_run_at(e,
+                        e->now.mono_us + 1 + (int64_t)(wait_s * USEC_PER_SEC));
     }
     q->held_back = true;
     return false;
@@ -325,7 +325,7 @@
 bool
 quotas_allow(struct entry *e, struct service_state *s)
 {
-    return allows(e, s->quota) && allows(e, s->team);
+    return allows(e, s->quota) && allows(e, s->team_quota);
 }
 
 static void
@@ -342,7 +342,7 @@
 {
     (void)e;
     started(s->quota);
-    started(s->team);
+    started(s->team_quota);
 }
 
 static void
@@ -351,8 +351,8 @@
     struct dispatch *d = e->dispatch;
 
     for (size_t i = 0; i < d->n_services; i++) {
-        if (d->services[i]->team == q || d->services[i]->quota == q) {
-            dispatch_wake(e, d->services[i]);
+        if (d->services[i]->team_quota == q || d->services[i]->quota == q) {
+            dispatch_mark_dirty(e, d->services[i]);
         }
     }
 }
@@ -374,7 +374,7 @@
 quotas_ended(struct entry *e, struct service_state *s)
 {
     ended(e, s->quota);
-    ended(e, s->team);
+    ended(e, s->team_quota);
 }
 
 static uint32_t
@@ -390,7 +390,7 @@
 quotas_slots(struct entry *e, const struct service_state *s)
 {
     uint32_t a = slots_of(s->quota);
-    uint32_t b = slots_of(s->team);
+    uint32_t b = slots_of(s->team_quota);
 
     (void)e;
     return a < b ? a : b;
--- a/src/route.c
+++ b/src/route.c
@@ -58,11 +58,11 @@
         }
         if (strcmp(method, routes[i].method) == 0) {
             m.kind = (enum route_kind)i;
-            m.name_cut = n >= sizeof(m.name);
+            m.name_truncated = n >= sizeof(m.name);
             (void)snprintf(m.name, sizeof(m.name), "%.*s", (int)n, name);
             return m;
         }
-        m.kind = ROUTE_METHOD;
+        m.kind = ROUTE_METHOD_NOT_ALLOWED;
         add_allowed(&m, routes[i].method);
     }
     return m;
--- a/src/route.h
+++ b/src/route.h
@@ -29,7 +29,7 @@
 #undef ROUTE
         ROUTES,
     ROUTE_NOT_FOUND,
-    ROUTE_METHOD, /* the path is known, with other methods */
+    ROUTE_METHOD_NOT_ALLOWED, /* the path is known, with other methods */
 };
 
 enum { ALLOW_SIZE = 32 };
@@ -38,13 +38,13 @@
  * struct route_match - what was found
  * @kind: see above
  * @name: the name in the path; empty where there is none
- * @name_cut: the name was longer than any may be
- * @allow: for ROUTE_METHOD, the value of the Allow header
+ * @name_truncated: the name was longer than any may be
+ * @allow: for ROUTE_METHOD_NOT_ALLOWED, the value of the Allow header
  */
 struct route_match {
     enum route_kind kind;
     char name[KEY_TEXT_SIZE];
-    bool name_cut;
+    bool name_truncated;
     char allow[ALLOW_SIZE];
 };
 
--- a/src/slot.c
+++ b/src/slot.c
@@ -84,9 +84,9 @@
 
     p->self = h;
     p->upstream = u;
-    p->touched_us = e->now.mono_us;
+    p->last_used_us = e->now.mono_us;
     if (u != NULL) {
-        p->rack = rack_bit(u->info.rack);
+        p->rack_bit = rack_bit(u->info.rack);
     }
     return p;
 }
@@ -122,12 +122,12 @@
     struct backs *b = backs_of(e->slots, p->lender);
 
     b->items = array_grow(b->items, b->n, &b->room, sizeof(*b->items));
-    b->items[b->n++] = (struct rec_slot_back){.grant = p->grant,
+    b->items[b->n++] = (struct rec_slot_back){.grant = p->grant_id,
                                               .slots = slots,
                                               .failed = p->failures,
-                                              .done = p->done};
+                                              .done = p->unreported_successes};
     p->slots -= slots;
-    p->done = 0;
+    p->unreported_successes = 0;
 }
 
 /** wake_by() - looks are taken at fixed times, so that what falls due between
@@ -150,10 +150,10 @@
 {
     int64_t soon = e->now.mono_us + FLUSH_US;
 
-    if (place_own(p) || p->slots <= p->used) {
+    if (place_is_own(p) || p->slots <= p->slots_used) {
         return;
     }
-    give_back(e, p, p->slots - p->used);
+    give_back(e, p, p->slots - p->slots_used);
     if (soon < e->slots->flush_us) {
         e->slots->flush_us = soon;
     }
@@ -177,7 +177,7 @@
     if (p->upstream != NULL && p->upstream->place == p) {
         p->upstream->place = NULL;
     }
-    if (p->used == 0) {
+    if (p->slots_used == 0) {
         remove_place(e, p);
         return;
     }
@@ -188,15 +188,15 @@
 void
 slots_ended(struct entry *e, struct place *p)
 {
-    if (!place_own(p) && p->failures >= e->opts.quarantine_after) {
+    if (!place_is_own(p) && p->failures >= e->opts.quarantine_after) {
         p->closed = true;
         place_update(e, p);
     }
-    if (p->closed && p->used == 0) {
+    if (p->closed && p->slots_used == 0) {
         remove_place(e, p);
         return;
     }
-    if (place_own(p)) {
+    if (place_is_own(p)) {
         return;
     }
     if (p->closed) {
@@ -244,7 +244,7 @@
 look_at_borrowed(struct entry *e, struct place *p, int64_t idle_us)
 {
     int64_t now = e->now.mono_us;
-    int64_t idle_end = p->touched_us + idle_us;
+    int64_t idle_end = p->last_used_us + idle_us;
 
     if (p->closed) {
         return INT64_MAX;
@@ -253,17 +253,17 @@
         slots_close(e, p);
         return INT64_MAX;
     }
-    if (p->used == p->slots) {
+    if (p->slots_used == p->slots) {
         return p->expires_us;
     }
     if (idle_end > now) {
         return idle_end < p->expires_us ? idle_end : p->expires_us;
     }
-    if (p->used == 0) {
+    if (p->slots_used == 0) {
         slots_close(e, p);
         return INT64_MAX;
     }
-    give_back(e, p, p->slots - p->used);
+    give_back(e, p, p->slots - p->slots_used);
     place_update(e, p);
     return p->expires_us;
 }
@@ -278,7 +278,7 @@
 
     sl->idle_us = INT64_MAX;
     while ((p = table_next(&sl->places, &at, &h)) != NULL) {
-        if (!place_own(p)) {
+        if (!place_is_own(p)) {
             wake_by(e, look_at_borrowed(e, p, IDLE_US));
         }
     }
@@ -301,10 +301,10 @@
     p->address = g->address;
     p->incarnation = g->incarnation;
     p->epoch = g->epoch;
-    p->grant = g->grant;
+    p->grant_id = g->grant;
     p->lender = from;
     p->slots = (uint32_t)g->slots;
-    p->each =
+    p->slot_size =
         (struct resources){(uint32_t)g->cpu_milli, (uint32_t)g->memory_mb,
                            (uint32_t)g->accelerators};
     p->expires_us = e->now.mono_us + (int64_t)g->duration_us;
@@ -317,7 +317,7 @@
 static void
 on_grant(struct entry *e, struct name from, const struct rec_slot_grant *m)
 {
-    struct service_state *s = dispatch_find(e, m->service);
+    struct service_state *s = dispatch_find_service(e, m->service);
 
     if (s == NULL) {
         e->counters.messages_bad++;
@@ -327,13 +327,13 @@
         add_grant(e, from, s, &m->grants[i]);
     }
     borrow_answered(e, s, from, m);
-    dispatch_wake(e, s);
+    dispatch_mark_dirty(e, s);
 }
 
 static void
 on_recall(struct entry *e, struct name from, const struct rec_slot_recall *m)
 {
-    const struct service_state *s = dispatch_find(e, m->service);
+    const struct service_state *s = dispatch_find_service(e, m->service);
     struct handle h;
     struct place *p;
     uint32_t at = 0;
@@ -342,7 +342,7 @@
         return;
     }
     while ((p = table_next(&e->slots->places, &at, &h)) != NULL) {
-        if (!place_own(p) && p->pool == &s->pool &&
+        if (!place_is_own(p) && p->pool == &s->pool &&
             name_equal(p->lender, from)) {
             (void)look_at_borrowed(e, p, 0);
         }
@@ -384,7 +384,7 @@
         lends_void(e, u->self);
     }
     while ((p = table_next(&e->slots->places, &at, &h)) != NULL) {
-        if (!place_own(p) && p->upstream == u && p->epoch < u->info.epoch) {
+        if (!place_is_own(p) && p->upstream == u && p->epoch < u->info.epoch) {
             slots_close(e, p);
         }
     }
@@ -417,7 +417,7 @@
 
     lends_member_down(e, member);
     while ((p = table_next(&sl->places, &at, &h)) != NULL) {
-        if (!place_own(p) && name_equal(p->lender, member)) {
+        if (!place_is_own(p) && name_equal(p->lender, member)) {
             p->slots = 0; /* nobody is there to return them to */
             slots_close(e, p);
         }
--- a/src/start.c
+++ b/src/start.c
@@ -120,9 +120,9 @@
     struct upstream *u = p->upstream;
 
     s->place = p->self;
-    s->own = place_own(p);
-    p->used++;
-    p->touched_us = e->now.mono_us;
+    s->own = place_is_own(p);
+    p->slots_used++;
+    p->last_used_us = e->now.mono_us;
     if (u != NULL) {
         s->upstream = u->self;
         u->running++;
@@ -130,7 +130,7 @@
             add_resources(&u->used, s->need);
         }
     }
-    s->service->running++;
+    s->service->n_running++;
     place_update(e, p);
 }
 
@@ -140,7 +140,7 @@
     struct upstream *u = upstreams_of(e, s->upstream);
     struct place *p = slots_place(e, s->place);
 
-    s->service->running--;
+    s->service->n_running--;
     quotas_ended(e, s->service);
     if (u != NULL) {
         u->running--;
@@ -152,12 +152,12 @@
         }
     }
     if (p != NULL) {
-        p->used--;
-        p->touched_us = e->now.mono_us;
+        p->slots_used--;
+        p->last_used_us = e->now.mono_us;
         place_update(e, p);
         slots_ended(e, p);
     }
-    dispatch_wake(e, s->service);
+    dispatch_mark_dirty(e, s->service);
 }
 
 static int64_t
@@ -206,7 +206,7 @@
     f->key = s->key;
     f->index = s->index;
     f->payload = blob_ref(payload);
-    f->silent_us = silent_after(e, s);
+    f->silence_timeout_us = silent_after(e, s);
     e->counters.tasks_started++;
 }
 
@@ -214,12 +214,12 @@
 starts_send(struct entry *e, struct job *job, uint32_t index, struct place *p)
 {
     struct starts *ss = starts_of(e);
-    struct queued *q = job->queue_place;
+    struct queued *q = job->queue_entry;
     struct task *t = &job->tasks[index];
     struct handle h;
     struct start *s = table_add(&ss->table, &h);
 
-    s->call = entry_new_call(e);
+    s->call = entry_new_call_id(e);
     s->self = h;
     s->job = job->self;
     s->service = q->service;
@@ -228,7 +228,7 @@
     s->name = p->name;
     s->address = p->address;
     s->incarnation = p->incarnation;
-    s->epoch = place_own(p) ? p->upstream->info.epoch : p->epoch;
+    s->epoch = place_is_own(p) ? p->upstream->info.epoch : p->epoch;
     s->need = t->need;
     s->declared_us = t->run_us;
     s->expected_us = estimate_mean_us(&s->service->run_estimate, t->run_us);
@@ -241,7 +241,7 @@
     t->start = h;
     job->n_sent++;
     emit_start(e, s, t->payload);
-    explain_add(e, job, REASON_STARTED, (int32_t)index, s->name);
+    explain_record(e, job, REASON_STARTED, (int32_t)index, s->name);
 }
 
 void
@@ -283,7 +283,7 @@
         return;
     }
     q = table_add(&ss->questions, &h);
-    q->call = entry_new_call(e);
+    q->call = entry_new_call_id(e);
     q->self = h;
     q->start = s->self;
     map_put(&ss->question_by_call, q);
@@ -316,7 +316,7 @@
 end_start(struct entry *e, struct start *s)
 {
     struct starts *ss = starts_of(e);
-    struct job *job = jobs_of(e, s->job);
+    struct job *job = jobs_by_handle(e, s->job);
 
     drop_question(ss, s);
     give_slot(e, s);
@@ -342,7 +342,7 @@
     if (p != NULL) {
         p->failures = 0;
         p->refusals = 0;
-        p->done++;
+        p->unreported_successes++;
     }
     if (u != NULL) {
         health_ok(e, u, (double)ran_us / expected);
@@ -373,11 +373,11 @@
 {
     struct place *p = slots_place(e, s->place);
 
-    if (p == NULL || p->blocked_us > e->now.mono_us) {
+    if (p == NULL || p->blocked_until_us > e->now.mono_us) {
         return;
     }
     place_block(e, p);
-    dispatch_wake_at(e, p->blocked_us);
+    dispatch_run_at(e, p->blocked_until_us);
 }
 
 static void
@@ -386,7 +386,7 @@
     struct upstream *u = upstreams_of(e, s->upstream);
     struct place *p = slots_place(e, s->place);
 
-    if (p != NULL && !place_own(p)) {
+    if (p != NULL && !place_is_own(p)) {
         slots_close(e, p);
     }
     else if (u != NULL && u->held && u->info.epoch == s->epoch) {
@@ -435,7 +435,7 @@
 end_unknown(struct entry *e, struct start *s)
 {
     struct handle h = s->self;
-    struct job *job = jobs_of(e, s->job);
+    struct job *job = jobs_by_handle(e, s->job);
 
     entry_log(e, LOG_WARNING, REASON_OUTCOME_LOST, &s->key, (int32_t)s->index,
               s->name, "incarnation %llu, not reached %u times",
--- a/src/submission.c
+++ b/src/submission.c
@@ -15,7 +15,7 @@
     va_list args;
 
     p->problem = problem;
-    p->not_by_this = true;
+    p->request_started_nothing = true;
     va_start(args, format);
     (void)vsnprintf(p->detail, sizeof(p->detail), format, args);
     va_end(args);
@@ -33,7 +33,7 @@
     if (err != KEY_OK) {
         return refuse(p, PROBLEM_BAD_KEY, "%s", key_error_text(err));
     }
-    if (key->issued_us == 0 && e->now.mono_us < e->wary_until_us) {
+    if (key->issued_us == 0 && e->now.mono_us < e->refuse_bare_until_us) {
         return refuse(p, PROBLEM_NO_CLAIM,
                       "this instance was paused; a bare key may have waited "
                       "in it past the claim window");
@@ -69,7 +69,7 @@
 static int64_t
 deadline_bound(const struct entry *e, const struct service_conf *s)
 {
-    int64_t bound = e->opts.claim_window_us / WINDOW_SHARE;
+    int64_t bound = e->opts.claim_window_us / CLAIM_WINDOW_DIVISOR;
 
     if (s->deadline_max_us > 0 && s->deadline_max_us < bound) {
         bound = s->deadline_max_us;
--- a/src/upcall.c
+++ b/src/upcall.c
@@ -170,7 +170,7 @@
     curl_easy_setopt(u->easy, CURLOPT_POSTFIELDSIZE_LARGE,
                      (curl_off_t)u->body->size);
     curl_easy_setopt(u->easy, CURLOPT_TIMEOUT_MS,
-                     (long)(s->silent_us / USEC_PER_MSEC));
+                     (long)(s->silence_timeout_us / USEC_PER_MSEC));
 }
 
 /* On a connection of its own: the one that carried the start may be half-open,
--- a/src/upstream.c
+++ b/src/upstream.c
@@ -287,7 +287,7 @@
         entry_refuse(e, ev->request, PROBLEM_BAD_ANNOUNCE, 0, error);
         return;
     }
-    if (!dispatch_room_for(e, info.service)) {
+    if (!dispatch_accepts_service(e, info.service)) {
         entry_refuse(e, ev->request, PROBLEM_OVERLOADED, e->opts.renew_us,
                      "too many services without a configuration");
         return;
--- a/src/vcarry.c
+++ b/src/vcarry.c
@@ -106,7 +106,7 @@
     h.incarnation = f->incarnation;
     h.epoch = f->epoch;
     h.blob = blob_ref(f->payload);
-    open_call(n, &h, f->silent_us);
+    open_call(n, &h, f->silence_timeout_us);
     vnet_send(n, &h);
 }
 
--- a/src/vote.c
+++ b/src/vote.c
@@ -11,7 +11,7 @@
 };
 
 void
-vote_note_start(struct entry *e)
+vote_set_start_time(struct entry *e)
 {
     struct claims *c = e->claims;
 
@@ -24,7 +24,7 @@
 }
 
 int
-vote_zone_number(const struct entry *e, struct name zone)
+vote_zone_index(const struct entry *e, struct name zone)
 {
     size_t n;
     const struct name *zones = members_zones(e, &n);
@@ -38,12 +38,13 @@
 }
 
 struct voting *
-vote_zone(const struct entry *e, struct name zone)
+vote_zone_voter(const struct entry *e, struct name zone)
 {
-    int i = vote_zone_number(e, zone);
+    int i = vote_zone_index(e, zone);
 
-    return i >= 0 && e->claims->votings[i].voter ? &e->claims->votings[i]
-                                                 : NULL;
+    return i >= 0 && e->claims->zone_voters[i].is_voter
+               ? &e->claims->zone_voters[i]
+               : NULL;
 }
 
 void
@@ -54,19 +55,19 @@
 
     for (size_t i = 0; i < n; i++) {
         if (name_equal(voters[i], e->opts.self)) {
-            v->voter = true;
+            v->is_voter = true;
         }
-        else if (v->n_fellows < FELLOWS_MAX) {
-            v->fellows[v->n_fellows++].name = voters[i];
+        else if (v->n_peers < PEER_VOTERS_MAX) {
+            v->peers[v->n_peers++].name = voters[i];
         }
     }
     v->ready = e->opts.new_region || MUTANT(e, VOTE_AT_ONCE);
 }
 
 bool
-claims_voting(const struct entry *e, struct name zone)
+claims_voter_ready(const struct entry *e, struct name zone)
 {
-    const struct voting *v = vote_zone(e, zone);
+    const struct voting *v = vote_zone_voter(e, zone);
 
     return v != NULL && v->ready;
 }
@@ -74,7 +75,7 @@
 /* A record outlives its key by the skew between clocks: an instance whose
  * clock is behind may still take the key. */
 int64_t
-vote_record_expiry(const struct entry *e, int64_t issued_us)
+vote_record_expiry_us(const struct entry *e, int64_t issued_us)
 {
     int64_t from = issued_us > 0 ? issued_us : e->now.wall_us;
 
@@ -84,14 +85,14 @@
 static void
 vote_record_remove(struct claims *c, struct claim *r)
 {
-    (void)map_remove(&c->by_key, &r->id);
+    (void)map_remove(&c->records_by_key, &r->id);
     table_remove(&c->records, r->self);
 }
 
 struct claim *
-vote_record(const struct entry *e, struct key_id id)
+vote_find_record(const struct entry *e, struct key_id id)
 {
-    struct claim *r = map_get(&e->claims->by_key, &id);
+    struct claim *r = map_get(&e->claims->records_by_key, &id);
 
     if (r != NULL && r->expires_us <= e->now.wall_us) {
         vote_record_remove(e->claims, r);
@@ -101,15 +102,15 @@
 }
 
 struct claim *
-vote_record_add(struct entry *e, struct key_id id, int zone)
+vote_add_record(struct entry *e, struct key_id id, int zone)
 {
     struct handle h;
     struct claim *r = table_add(&e->claims->records, &h);
 
     r->id = id;
     r->self = h;
-    r->zone = (uint8_t)zone;
-    map_put(&e->claims->by_key, r);
+    r->zone_index = (uint8_t)zone;
+    map_put(&e->claims->records_by_key, r);
     return r;
 }
 
@@ -143,24 +144,24 @@
             struct rec_claim_reply *reply)
 {
     reply->verdict = CLAIM_TAKEN;
-    reply->claimer = members_at(e, r->claimer)->name;
+    reply->claimer = members_at(e, r->claimer_index)->name;
     reply->claimer_incarnation = r->incarnation;
     reply->digest = r->digest;
     reply->purpose = r->purpose;
 }
 
 bool
-claims_record(const struct entry *e, struct key_id id,
+claims_lookup(const struct entry *e, struct key_id id,
               struct claim_result *out)
 {
-    const struct claim *r = vote_record(e, id);
+    const struct claim *r = vote_find_record(e, id);
 
     if (r == NULL || r->contested) {
         return false;
     }
     memset(out, 0, sizeof(*out));
-    out->end = CLAIM_END_OTHER;
-    out->claimer = members_at(e, r->claimer)->name;
+    out->outcome = CLAIM_OUTCOME_TAKEN;
+    out->claimer = members_at(e, r->claimer_index)->name;
     out->incarnation = r->incarnation;
     out->digest = r->digest;
     out->purpose = (enum claim_purpose)r->purpose;
@@ -171,13 +172,13 @@
 record_grant(struct entry *e, const struct rec_claim *m, uint16_t claimer,
              int zone)
 {
-    struct claim *r = vote_record_add(e, m->key, zone);
+    struct claim *r = vote_add_record(e, m->key, zone);
 
     r->digest = m->digest;
     r->attempt = m->attempt;
     r->incarnation = m->incarnation;
-    r->expires_us = vote_record_expiry(e, (int64_t)m->issued_us);
-    r->claimer = claimer;
+    r->expires_us = vote_record_expiry_us(e, (int64_t)m->issued_us);
+    r->claimer_index = claimer;
     r->purpose = m->purpose;
     r->bare = m->issued_us == 0;
     e->counters.claims_granted++;
@@ -191,13 +192,13 @@
            uint16_t claimer, struct claim *r, struct rec_claim_reply *reply)
 {
     if (r->bare) {
-        r->expires_us = vote_record_expiry(e, 0);
+        r->expires_us = vote_record_expiry_us(e, 0);
     }
     if (r->contested || (r->copied && !v->ready)) {
         reply->verdict = CLAIM_NOT_VOTING;
         return;
     }
-    if (r->claimer != claimer || r->incarnation != m->incarnation) {
+    if (r->claimer_index != claimer || r->incarnation != m->incarnation) {
         reply_taken(e, r, reply);
         return;
     }
@@ -214,7 +215,7 @@
      uint16_t claimer, struct rec_claim_reply *reply)
 {
     int64_t issued = (int64_t)m->issued_us;
-    struct claim *r = vote_record(e, m->key);
+    struct claim *r = vote_find_record(e, m->key);
 
     if (too_old(e, issued)) {
         reply->verdict = CLAIM_TOO_OLD;
@@ -226,7 +227,7 @@
         reply->verdict = CLAIM_NOT_VOTING;
     }
     else {
-        record_grant(e, m, claimer, vote_zone_number(e, m->zone));
+        record_grant(e, m, claimer, vote_zone_index(e, m->zone));
         reply->verdict = CLAIM_GRANTED;
     }
 }
@@ -235,7 +236,7 @@
 look_up(struct entry *e, const struct voting *v, struct key_id key,
         struct rec_claim_reply *reply)
 {
-    struct claim *r = vote_record(e, key);
+    struct claim *r = vote_find_record(e, key);
 
     if (r != NULL && !r->contested) {
         reply_taken(e, r, reply);
@@ -252,23 +253,23 @@
             struct rec_claim_reply *reply)
 {
     reply->voter_incarnation = e->opts.incarnation;
-    reply->views = calloc(FELLOWS_MAX, sizeof(*reply->views));
+    reply->views = calloc(PEER_VOTERS_MAX, sizeof(*reply->views));
     if (reply->views == NULL) {
         abort();
     }
-    for (size_t i = 0; i < v->n_fellows; i++) {
-        reply->views[i].voter = v->fellows[i].name;
+    for (size_t i = 0; i < v->n_peers; i++) {
+        reply->views[i].voter = v->peers[i].name;
         reply->views[i].incarnation =
-            members_of(e, v->fellows[i].name)->incarnation;
+            members_of(e, v->peers[i].name)->incarnation;
     }
-    reply->n_views = v->n_fellows;
+    reply->n_views = v->n_peers;
 }
 
 bool
 vote_claim(struct entry *e, struct name from, const struct rec_claim *m,
            struct rec_claim_reply *reply)
 {
-    const struct voting *v = vote_zone(e, m->zone);
+    const struct voting *v = vote_zone_voter(e, m->zone);
     struct member *claimer = members_of(e, from);
 
     if (v == NULL || claimer == NULL || m->purpose > CLAIM_CANCEL ||
@@ -288,7 +289,7 @@
 vote_find(struct entry *e, const struct rec_claim_find *m,
           struct rec_claim_reply *reply)
 {
-    const struct voting *v = vote_zone(e, m->zone);
+    const struct voting *v = vote_zone_voter(e, m->zone);
 
     if (v == NULL) {
         return false;
@@ -307,13 +308,13 @@
              const struct rec_claim_release *m)
 {
     struct member *claimer = members_of(e, from);
-    struct claim *r = vote_record(e, m->key);
+    struct claim *r = vote_find_record(e, m->key);
 
-    if (claimer == NULL || vote_zone(e, m->zone) == NULL) {
+    if (claimer == NULL || vote_zone_voter(e, m->zone) == NULL) {
         return false;
     }
     if (r != NULL && !r->contested &&
-        r->claimer == members_index(e, claimer) &&
+        r->claimer_index == members_index(e, claimer) &&
         r->incarnation == m->incarnation && r->attempt <= m->attempt) {
         vote_record_remove(e->claims, r);
     }
@@ -329,9 +330,9 @@
     struct claim *r;
 
     while (left-- > 0) {
-        r = table_next(&c->records, &c->sweep_at, NULL);
+        r = table_next(&c->records, &c->sweep_position, NULL);
         if (r == NULL) {
-            c->sweep_at = 0;
+            c->sweep_position = 0;
             break;
         }
         if (r->expires_us <= e->now.wall_us) {
@@ -344,11 +345,12 @@
 size_t
 claims_count(const struct entry *e)
 {
-    return map_count(&e->claims->by_key);
+    return map_count(&e->claims->records_by_key);
 }
 
 size_t
 claims_bytes(const struct entry *e)
 {
-    return table_bytes(&e->claims->records) + map_bytes(&e->claims->by_key);
+    return table_bytes(&e->claims->records) +
+           map_bytes(&e->claims->records_by_key);
 }
--- a/src/vote.h
+++ b/src/vote.h
@@ -9,25 +9,25 @@
 /** vote_init() - this instance's part in voting for @zone */
 void vote_init(const struct entry *e, struct voting *v, struct name zone);
 
-/** vote_note_start() - the first event's time stands for the start: what an
- * earlier incarnation granted, it granted before */
-void vote_note_start(struct entry *e);
+/** vote_set_start_time() - the first event's time stands for the start: what
+ * an earlier incarnation granted, it granted before */
+void vote_set_start_time(struct entry *e);
 
-/** vote_zone_number() - of members_zones(), or -1 */
-int vote_zone_number(const struct entry *e, struct name zone);
+/** vote_zone_index() - of members_zones(), or -1 */
+int vote_zone_index(const struct entry *e, struct name zone);
 
-/** vote_zone() - NULL where this instance is no voter of the zone */
-struct voting *vote_zone(const struct entry *e, struct name zone);
+/** vote_zone_voter() - NULL where this instance is no voter of the zone */
+struct voting *vote_zone_voter(const struct entry *e, struct name zone);
 
-/** vote_record() - the live record of a key, or NULL */
-struct claim *vote_record(const struct entry *e, struct key_id id);
+/** vote_find_record() - the live record of a key, or NULL */
+struct claim *vote_find_record(const struct entry *e, struct key_id id);
 
-/** vote_record_add() - an empty record; @zone is its number */
-struct claim *vote_record_add(struct entry *e, struct key_id id, int zone);
+/** vote_add_record() - an empty record; @zone is its number */
+struct claim *vote_add_record(struct entry *e, struct key_id id, int zone);
 
-/** vote_record_expiry() - wall time at which a record of a key issued then,
+/** vote_record_expiry_us() - wall time at which a record of a key issued then,
  * or seen now where it is bare, may go */
-int64_t vote_record_expiry(const struct entry *e, int64_t issued_us);
+int64_t vote_record_expiry_us(const struct entry *e, int64_t issued_us);
 
 /** vote_claim() - votes and fills the reply, whose views the caller owns;
  * false where the message makes no sense */
--- a/src/waiter.c
+++ b/src/waiter.c
@@ -11,7 +11,7 @@
         return map_get(requests, &w->request) != NULL;
     }
     for (const struct waiter *o = job->waiters; o != NULL; o = o->next) {
-        if (o->request == REQUEST_NONE && o->wait == w->wait &&
+        if (o->request == REQUEST_NONE && o->wait_id == w->wait_id &&
             name_equal(o->instance, w->instance)) {
             return true;
         }
@@ -50,7 +50,7 @@
 }
 
 struct waiter *
-waiters_gone(struct map *requests, struct job *job, uint64_t request)
+waiters_remove(struct map *requests, struct job *job, uint64_t request)
 {
     for (struct waiter **at = &job->waiters; *at != NULL; at = &(*at)->next) {
         if ((*at)->request == request) {
@@ -100,7 +100,8 @@
 }
 
 size_t
-waiter_tasks(const struct job_answer *answer, struct rec_task_answer **tasks)
+waiter_encode_tasks(const struct job_answer *answer,
+                    struct rec_task_answer **tasks)
 {
     *tasks = NULL;
     if (answer->n_tasks == 0) {
@@ -131,7 +132,8 @@
     if (answer != NULL) {
         m.u.job_answer.status = answer->status;
         m.u.job_answer.reason = answer->reason;
-        m.u.job_answer.n_tasks = waiter_tasks(answer, &m.u.job_answer.tasks);
+        m.u.job_answer.n_tasks =
+            waiter_encode_tasks(answer, &m.u.job_answer.tasks);
     }
     entry_send(e, instance, &m);
 }
@@ -152,7 +154,7 @@
             answer_caller(e, w, answer);
         }
         else {
-            waiter_reply(e, w->instance, w->wait, job->id, WAIT_ANSWER,
+            waiter_reply(e, w->instance, w->wait_id, job->id, WAIT_ANSWER,
                          answer);
         }
         waiter_free(requests, w);
@@ -160,7 +162,7 @@
 }
 
 void
-waiters_accepted(struct entry *e, struct map *requests, struct job *job)
+waiters_notify_accepted(struct entry *e, struct map *requests, struct job *job)
 {
     struct waiter **at = &job->waiters;
 
@@ -192,14 +194,14 @@
             p->request = w->request;
         }
         else {
-            waiter_reply(e, w->instance, w->wait, job->id, outcome, NULL);
+            waiter_reply(e, w->instance, w->wait_id, job->id, outcome, NULL);
         }
         waiter_free(requests, w);
     }
 }
 
 void
-waiters_release(struct entry *e, struct job *job)
+waiters_notify_released(struct entry *e, struct job *job)
 {
     struct waiter **at = &job->waiters;
 
@@ -210,14 +212,14 @@
             at = &w->next;
             continue;
         }
-        waiter_reply(e, w->instance, w->wait, job->id, WAIT_RELEASED, NULL);
+        waiter_reply(e, w->instance, w->wait_id, job->id, WAIT_RELEASED, NULL);
         *at = w->next;
         free(w);
     }
 }
 
 void
-waiters_drop(struct map *requests, struct job *job)
+waiters_free(struct map *requests, struct job *job)
 {
     while (job->waiters != NULL) {
         struct waiter *w = job->waiters;
--- a/tests/broker_scale_test.c
+++ b/tests/broker_scale_test.c
@@ -447,7 +447,7 @@
     struct assign_item items[ITEMS] = {0};
 
     for (size_t i = 0; i < ITEMS; i++) {
-        items[i].spread = ITEMS - i;
+        items[i].order_key = ITEMS - i;
         items[i].holder = i % 2;
     }
     assign_holders(items, ITEMS, HOLDERS);
--- a/tests/claim_test.c
+++ b/tests/claim_test.c
@@ -92,7 +92,7 @@
     deaf = then_deaf;
     enet_restart(n, 0);
     enet_run(n, 10 * MSEC);
-    CU_ASSERT_TRUE(claims_voting(n->nodes[0].e, name_of("z0")));
+    CU_ASSERT_TRUE(claims_voter_ready(n->nodes[0].e, name_of("z0")));
     CU_ASSERT_EQUAL(claims_count(n->nodes[0].e), 0);
     cut[NODE_D][1] = true;
     d = enet_submit(n, NODE_D, key, 3, 11);
@@ -169,7 +169,7 @@
     enet_restart(n, 0);
     enet_restart(n, 1);
     enet_run(n, 11 * SEC);
-    CU_ASSERT_FALSE(claims_voting(n->nodes[0].e, name_of("z0")));
+    CU_ASSERT_FALSE(claims_voter_ready(n->nodes[0].e, name_of("z0")));
     again = enet_submit(n, NODE_D, key, 2, 11);
     bare = enet_submit(n, NODE_D, "bare-of-z0-2", 1, 12);
     enet_key(n, "z0", 2, 0, other);
@@ -182,7 +182,7 @@
                    enet_problem(n, bare, PROBLEM_NO_CLAIM));
     CU_ASSERT_TRUE(enet_ended(n, fresh, JOB_COMPLETE, REASON_COMPLETED));
     enet_run(n, 615 * SEC);
-    CU_ASSERT_TRUE(claims_voting(n->nodes[0].e, name_of("z0")));
+    CU_ASSERT_TRUE(claims_voter_ready(n->nodes[0].e, name_of("z0")));
     enet_free(n);
 }
 
@@ -266,7 +266,7 @@
     with_one = enet_submit(n, 0, key, 2, 11);
     enet_run(n, SEC);
     CU_ASSERT_TRUE(enet_problem(n, with_one, PROBLEM_NO_CLAIM));
-    CU_ASSERT_TRUE(enet_answer(n, with_one)->problem.not_by_this);
+    CU_ASSERT_TRUE(enet_answer(n, with_one)->problem.request_started_nothing);
     CU_ASSERT_TRUE(enet_answer(n, with_one)->problem.retry_after_us > 0);
     enet_free(n);
 }
--- a/tests/dispatch_test.c
+++ b/tests/dispatch_test.c
@@ -14,7 +14,7 @@
     for (int i = 0; i < n_upstreams; i++) {
         char name[] = {'u', (char)('0' + i), '\0'};
 
-        one_announce(o, one_upstream(name));
+        one_announce(o, one_upstream_info(name));
     }
     one_clear(o);
     return o;
@@ -23,7 +23,7 @@
 static uint64_t
 first_call(const struct one *o)
 {
-    return one_get(o, EF_START, 0)->u.start.call;
+    return one_effect(o, EF_START, 0)->u.start.call;
 }
 
 static void
@@ -33,12 +33,12 @@
     uint64_t request = one_submit(o, "a", 20, RUN_US);
     size_t started = 0;
 
-    CU_ASSERT_EQUAL(one_count(o, EF_START), 8);
-    while (one_count(o, EF_START) > 0) {
-        started += one_end_all(o, START_DONE, true);
+    CU_ASSERT_EQUAL(one_count_effects(o, EF_START), 8);
+    while (one_count_effects(o, EF_START) > 0) {
+        started += one_end_all_starts(o, START_DONE, true);
     }
     CU_ASSERT_EQUAL(started, 20);
-    CU_ASSERT(one_ended(o, request, JOB_COMPLETE, REASON_COMPLETED));
+    CU_ASSERT(one_answered_with(o, request, JOB_COMPLETE, REASON_COMPLETED));
     one_free(o);
 }
 
@@ -49,13 +49,13 @@
 connections_bound_the_starts(void)
 {
     struct one *o = one_with(0, &(struct one_options){0});
-    struct rec_upstream_info info = one_upstream("u");
+    struct rec_upstream_info info = one_upstream_info("u");
 
     info.connections = 3;
     one_announce(o, info);
     one_clear(o);
     (void)one_submit(o, "a", 9, RUN_US);
-    CU_ASSERT_EQUAL(one_count(o, EF_START), 2);
+    CU_ASSERT_EQUAL(one_count_effects(o, EF_START), 2);
     one_free(o);
 }
 
@@ -67,14 +67,14 @@
 {
     struct one *o = one_with(2, &(struct one_options){0});
     uint64_t request = one_submit(o, "a", 1, RUN_US);
-    struct name refusing = one_get(o, EF_START, 0)->u.start.upstream;
+    struct name refusing = one_effect(o, EF_START, 0)->u.start.upstream;
 
-    CU_ASSERT_EQUAL(one_end_all(o, START_REFUSED, false), 1);
-    CU_ASSERT_EQUAL(one_count(o, EF_START), 1);
+    CU_ASSERT_EQUAL(one_end_all_starts(o, START_REFUSED, false), 1);
+    CU_ASSERT_EQUAL(one_count_effects(o, EF_START), 1);
     CU_ASSERT(
-        !name_equal(refusing, one_get(o, EF_START, 0)->u.start.upstream));
-    (void)one_end_all(o, START_DONE, true);
-    CU_ASSERT(one_ended(o, request, JOB_COMPLETE, REASON_COMPLETED));
+        !name_equal(refusing, one_effect(o, EF_START, 0)->u.start.upstream));
+    (void)one_end_all_starts(o, START_DONE, true);
+    CU_ASSERT(one_answered_with(o, request, JOB_COMPLETE, REASON_COMPLETED));
     one_free(o);
 }
 
@@ -91,20 +91,21 @@
     int rounds = 0;
 
     while (one_answer(o, request) == NULL && rounds++ < 2000) {
-        started += one_end_all(o, START_NO_CONNECT, false);
-        if (one_count(o, EF_START) == 0) {
+        started += one_end_all_starts(o, START_NO_CONNECT, false);
+        if (one_count_effects(o, EF_START) == 0) {
             one_run(o, 20 * USEC_PER_MSEC);
         }
         if (rounds % 20 == 0) {
             for (int u = 0; u < 3; u++) {
                 char name[] = {'u', (char)('0' + u), '\0'};
 
-                one_announce(o, one_upstream(name));
+                one_announce(o, one_upstream_info(name));
             }
         }
     }
-    CU_ASSERT(one_ended(o, request, JOB_FAILED, REASON_RETRIES_SPENT) ||
-              one_ended(o, request, JOB_FAILED, REASON_DEADLINE));
+    CU_ASSERT(
+        one_answered_with(o, request, JOB_FAILED, REASON_RETRIES_SPENT) ||
+        one_answered_with(o, request, JOB_FAILED, REASON_DEADLINE));
     CU_ASSERT(started < 300);
     for (size_t i = 0; i < 200; i++) {
         const struct job_answer *a = one_answer(o, request)->u.answer.answer;
@@ -124,13 +125,14 @@
     struct one *o = one_with(2, &(struct one_options){0});
     uint64_t request = one_submit(o, "a", 1, RUN_US);
 
-    (void)one_end_all(o, START_LOST, false);
-    CU_ASSERT_EQUAL(one_count(o, EF_START), 0);
-    CU_ASSERT_EQUAL(one_count(o, EF_REVOKE), 1);
-    one_revoked(o, one_get(o, EF_REVOKE, 0)->u.revoke.call, REVOKE_NEVER);
-    CU_ASSERT_EQUAL(one_count(o, EF_START), 1);
-    (void)one_end_all(o, START_DONE, true);
-    CU_ASSERT(one_ended(o, request, JOB_COMPLETE, REASON_COMPLETED));
+    (void)one_end_all_starts(o, START_LOST, false);
+    CU_ASSERT_EQUAL(one_count_effects(o, EF_START), 0);
+    CU_ASSERT_EQUAL(one_count_effects(o, EF_REVOKE), 1);
+    one_revoke_reply(o, one_effect(o, EF_REVOKE, 0)->u.revoke.call,
+                     REVOKE_NEVER);
+    CU_ASSERT_EQUAL(one_count_effects(o, EF_START), 1);
+    (void)one_end_all_starts(o, START_DONE, true);
+    CU_ASSERT(one_answered_with(o, request, JOB_COMPLETE, REASON_COMPLETED));
     one_free(o);
 }
 
@@ -142,14 +144,16 @@
     struct one *o = one_with(1, &(struct one_options){0});
     uint64_t request = one_submit(o, "a", 1, RUN_US);
 
-    (void)one_end_all(o, START_LOST, false);
-    one_revoked(o, one_get(o, EF_REVOKE, 0)->u.revoke.call, REVOKE_RUNNING);
+    (void)one_end_all_starts(o, START_LOST, false);
+    one_revoke_reply(o, one_effect(o, EF_REVOKE, 0)->u.revoke.call,
+                     REVOKE_RUNNING);
     one_clear(o);
     one_run(o, USEC_PER_SEC);
-    CU_ASSERT_EQUAL(one_count(o, EF_START), 0);
-    CU_ASSERT_EQUAL(one_count(o, EF_REVOKE), 1);
-    one_revoked(o, one_get(o, EF_REVOKE, 0)->u.revoke.call, REVOKE_DONE);
-    CU_ASSERT(one_ended(o, request, JOB_COMPLETE, REASON_COMPLETED));
+    CU_ASSERT_EQUAL(one_count_effects(o, EF_START), 0);
+    CU_ASSERT_EQUAL(one_count_effects(o, EF_REVOKE), 1);
+    one_revoke_reply(o, one_effect(o, EF_REVOKE, 0)->u.revoke.call,
+                     REVOKE_DONE);
+    CU_ASSERT(one_answered_with(o, request, JOB_COMPLETE, REASON_COMPLETED));
     one_free(o);
 }
 
@@ -162,12 +166,13 @@
     struct one *o = one_with(2, &(struct one_options){0});
     uint64_t request = one_submit(o, "a", 1, RUN_US);
 
-    (void)one_end_all(o, START_LOST, false);
-    one_revoked(o, one_get(o, EF_REVOKE, 0)->u.revoke.call, REVOKE_OTHER_LIFE);
-    CU_ASSERT(one_ended(o, request, JOB_FAILED, REASON_OUTCOME_LOST));
+    (void)one_end_all_starts(o, START_LOST, false);
+    one_revoke_reply(o, one_effect(o, EF_REVOKE, 0)->u.revoke.call,
+                     REVOKE_OTHER_LIFE);
+    CU_ASSERT(one_answered_with(o, request, JOB_FAILED, REASON_OUTCOME_LOST));
     CU_ASSERT_EQUAL(one_answer(o, request)->u.answer.answer->tasks[0].state,
                     TASK_UNKNOWN);
-    CU_ASSERT_EQUAL(one_count(o, EF_START), 0);
+    CU_ASSERT_EQUAL(one_count_effects(o, EF_START), 0);
     one_free(o);
 }
 
@@ -183,11 +188,11 @@
     const struct effect *start;
 
     (void)one_submit(o, "a", 1, 2 * USEC_PER_SEC);
-    start = one_get(o, EF_START, 0);
+    start = one_effect(o, EF_START, 0);
     CU_ASSERT_PTR_NOT_NULL_FATAL(start);
     if (start != NULL) {
-        CU_ASSERT(start->u.start.silent_us <= 3 * USEC_PER_SEC);
-        CU_ASSERT(start->u.start.silent_us >= USEC_PER_SEC);
+        CU_ASSERT(start->u.start.silence_timeout_us <= 3 * USEC_PER_SEC);
+        CU_ASSERT(start->u.start.silence_timeout_us >= USEC_PER_SEC);
     }
     one_free(o);
 }
@@ -198,15 +203,15 @@
 replaced_upstream_is_asked(void)
 {
     struct one *o = one_with(1, &(struct one_options){0});
-    struct rec_upstream_info info = one_upstream("u0");
+    struct rec_upstream_info info = one_upstream_info("u0");
 
     (void)one_submit(o, "a", 2, RUN_US);
     one_clear(o);
     info.incarnation = 2;
     one_announce(o, info);
-    CU_ASSERT_EQUAL(one_count(o, EF_REVOKE), 2);
-    CU_ASSERT_EQUAL(one_get(o, EF_REVOKE, 0)->u.revoke.incarnation, 1);
-    CU_ASSERT_EQUAL(one_count(o, EF_START), 0);
+    CU_ASSERT_EQUAL(one_count_effects(o, EF_REVOKE), 2);
+    CU_ASSERT_EQUAL(one_effect(o, EF_REVOKE, 0)->u.revoke.incarnation, 1);
+    CU_ASSERT_EQUAL(one_count_effects(o, EF_START), 0);
     one_free(o);
 }
 
@@ -218,18 +223,19 @@
     struct one *o = one_with(1, &(struct one_options){0});
     uint64_t request = one_submit(o, "a", 1, RUN_US);
 
-    (void)one_end_all(o, START_LOST, false);
+    (void)one_end_all_starts(o, START_LOST, false);
     for (int i = 0; i < 200 && entry_gauges(o->e).tasks_running > 0; i++) {
-        const struct effect *f = one_get(o, EF_REVOKE, 0);
+        const struct effect *f = one_effect(o, EF_REVOKE, 0);
 
         if (f != NULL) {
             uint64_t call = f->u.revoke.call;
 
             one_clear(o);
-            one_revoked(o, call, REVOKE_UNREACHABLE);
+            one_revoke_reply(o, call, REVOKE_UNREACHABLE);
         }
         if (one_answer(o, request) != NULL) {
-            CU_ASSERT(one_ended(o, request, JOB_FAILED, REASON_DEADLINE));
+            CU_ASSERT(
+                one_answered_with(o, request, JOB_FAILED, REASON_DEADLINE));
             request = 0;
         }
         one_run(o, 200 * USEC_PER_MSEC);
@@ -249,13 +255,14 @@
     uint64_t request = one_submit(o, "a", 2, RUN_US);
     uint64_t call = first_call(o);
 
-    one_end(o, call, START_DONE, true);
-    one_end(o, call, START_DONE, true);
-    one_end(o, call + 1000, START_DONE, true);
+    one_end_start(o, call, START_DONE, true);
+    one_end_start(o, call, START_DONE, true);
+    one_end_start(o, call + 1000, START_DONE, true);
     CU_ASSERT_EQUAL(entry_counters(o->e).outcomes_dropped, 2);
     CU_ASSERT_PTR_NULL(one_answer(o, request));
-    one_end(o, one_get(o, EF_START, 1)->u.start.call, START_DONE, true);
-    CU_ASSERT(one_ended(o, request, JOB_COMPLETE, REASON_COMPLETED));
+    one_end_start(o, one_effect(o, EF_START, 1)->u.start.call, START_DONE,
+                  true);
+    CU_ASSERT(one_answered_with(o, request, JOB_COMPLETE, REASON_COMPLETED));
     one_free(o);
 }
 
@@ -269,16 +276,16 @@
     size_t started;
 
     (void)one_submit(o, "a", 100, RUN_US);
-    started = one_count(o, EF_START);
+    started = one_count_effects(o, EF_START);
     CU_ASSERT(started > 0 && started % 4 == 0);
     one_clear(o);
     one_cancel(o, "a");
-    CU_ASSERT_EQUAL(one_count(o, EF_REVOKE), 0);
-    CU_ASSERT(one_count(o, EF_SEND) <= 1); /* its request for slots */
+    CU_ASSERT_EQUAL(one_count_effects(o, EF_REVOKE), 0);
+    CU_ASSERT(one_count_effects(o, EF_SEND) <= 1); /* its request for slots */
     CU_ASSERT_EQUAL(entry_gauges(o->e).tasks_queued, 0);
     CU_ASSERT_EQUAL(entry_gauges(o->e).tasks_running, started);
     (void)one_submit(o, "b", 1, RUN_US);
-    CU_ASSERT_EQUAL(one_count(o, EF_START), 0);
+    CU_ASSERT_EQUAL(one_count_effects(o, EF_START), 0);
     one_free(o);
 }
 
@@ -286,7 +293,7 @@
 never_fits_is_refused_at_once(void)
 {
     struct one *o = one_with(0, &(struct one_options){0});
-    struct rec_upstream_info info = one_upstream("u");
+    struct rec_upstream_info info = one_upstream_info("u");
     const struct effect *f;
     uint64_t request;
 
@@ -312,8 +319,8 @@
 static void
 fit_counts_other_zones(void)
 {
-    struct one *o =
-        one_with(1, &(struct one_options){.peers = 1, .far = true});
+    struct one *o = one_with(
+        1, &(struct one_options){.peers = 1, .peers_in_other_zone = true});
     struct msg m = {.kind = MSG_HEARTBEAT};
     const struct effect *f;
 
@@ -329,15 +336,16 @@
                                                .cpu_milli = 64000,
                                                .memory_mb = 65536};
     one_message(o, "p0", &m);
-    one_need(o, 100000);
+    one_set_need(o, 100000);
     f = one_answer(o, one_submit(o, "a", 1, RUN_US));
     CU_ASSERT(f != NULL && f->kind == EF_PROBLEM &&
               f->u.problem.problem == PROBLEM_NEVER_FITS);
-    one_need(o, 48000);
+    one_set_need(o, 48000);
     CU_ASSERT_PTR_NULL(one_answer(o, one_submit(o, "b", 1, RUN_US)));
-    CU_ASSERT_PTR_NOT_NULL_FATAL(one_sent(o, MSG_SLOT_REQUEST, 0));
-    CU_ASSERT_EQUAL(one_sent(o, MSG_SLOT_REQUEST, 0)->u.slot_request.cpu_milli,
-                    48000);
+    CU_ASSERT_PTR_NOT_NULL_FATAL(one_message_sent(o, MSG_SLOT_REQUEST, 0));
+    CU_ASSERT_EQUAL(
+        one_message_sent(o, MSG_SLOT_REQUEST, 0)->u.slot_request.cpu_milli,
+        48000);
     one_free(o);
 }
 
@@ -367,7 +375,7 @@
     until = o->now_us + 4 * USEC_PER_SEC;
     while (entry_gauges(o->e).tasks_running > 0 && o->now_us < until) {
         one_run(o, RUN_US);
-        (void)one_end_all(o, START_DONE, true);
+        (void)one_end_all_starts(o, START_DONE, true);
     }
     CU_ASSERT_EQUAL(entry_counters(o->e).jobs_complete, 400 - refused);
     CU_ASSERT_EQUAL(entry_counters(o->e).jobs_failed, 0);
@@ -386,10 +394,10 @@
     bool large_answered = false;
 
     one_run(o, RUN_US);
-    (void)one_end_all(o, START_DONE, true);
+    (void)one_end_all_starts(o, START_DONE, true);
     one_run(o, RUN_US);
-    (void)one_end_all(o, START_DONE, true);
-    CU_ASSERT(one_ended(o, small, JOB_COMPLETE, REASON_COMPLETED));
+    (void)one_end_all_starts(o, START_DONE, true);
+    CU_ASSERT(one_answered_with(o, small, JOB_COMPLETE, REASON_COMPLETED));
     for (int i = 0; i < 60 && !large_answered; i++) {
         char name[] = {'u', '0', '\0'};
         char key[] = {'s', (char)('0' + i), '\0'};
@@ -399,11 +407,11 @@
             (void)one_submit(o, key, 1, RUN_US);
         }
         one_run(o, RUN_US);
-        one_announce(o, one_upstream(name));
-        (void)one_end_all(o, START_DONE, true);
+        one_announce(o, one_upstream_info(name));
+        (void)one_end_all_starts(o, START_DONE, true);
         large_answered = one_answer(o, large) != NULL;
         CU_ASSERT(!large_answered ||
-                  one_ended(o, large, JOB_COMPLETE, REASON_COMPLETED));
+                  one_answered_with(o, large, JOB_COMPLETE, REASON_COMPLETED));
     }
     CU_ASSERT(large_answered);
     one_free(o);
@@ -418,10 +426,10 @@
     (void)one_submit(o, "large", 10, RUN_US);
     one_run(o, 1);
     (void)one_submit(o, "small", 1, RUN_US);
-    (void)one_end_all(o, START_DONE, true);
-    (void)one_end_all(o, START_DONE, true);
-    CU_ASSERT_EQUAL(one_count(o, EF_START), 3);
-    CU_ASSERT(key_id_equal(one_get(o, EF_START, 2)->u.start.key, small));
+    (void)one_end_all_starts(o, START_DONE, true);
+    (void)one_end_all_starts(o, START_DONE, true);
+    CU_ASSERT_EQUAL(one_count_effects(o, EF_START), 3);
+    CU_ASSERT(key_id_equal(one_effect(o, EF_START, 2)->u.start.key, small));
     one_free(o);
 }
 
@@ -432,9 +440,9 @@
     struct one *o = one_with(3, &(struct one_options){.slots_max_running = 5});
 
     (void)one_submit(o, "a", 12, RUN_US);
-    CU_ASSERT_EQUAL(one_count(o, EF_START), 5);
-    CU_ASSERT_EQUAL(one_end_all(o, START_DONE, true), 5);
-    CU_ASSERT_EQUAL(one_count(o, EF_START), 5);
+    CU_ASSERT_EQUAL(one_count_effects(o, EF_START), 5);
+    CU_ASSERT_EQUAL(one_end_all_starts(o, START_DONE, true), 5);
+    CU_ASSERT_EQUAL(one_count_effects(o, EF_START), 5);
     one_free(o);
 }
 
@@ -445,10 +453,11 @@
     size_t at_once;
 
     (void)one_submit(o, "a", 30, RUN_US);
-    at_once = one_count(o, EF_START);
+    at_once = one_count_effects(o, EF_START);
     CU_ASSERT(at_once >= 1 && at_once <= 3);
     one_run(o, USEC_PER_SEC);
-    CU_ASSERT(one_count(o, EF_START) >= 9 && one_count(o, EF_START) <= 13);
+    CU_ASSERT(one_count_effects(o, EF_START) >= 9 &&
+              one_count_effects(o, EF_START) <= 13);
     one_free(o);
 }
 
--- a/tests/health_test.c
+++ b/tests/health_test.c
@@ -16,7 +16,7 @@
     for (int i = 0; i < UPSTREAMS; i++) {
         char name[] = {'u', (char)('0' + i), '\0'};
 
-        one_announce(o, one_upstream(name));
+        one_announce(o, one_upstream_info(name));
     }
     one_clear(o);
     return o;
@@ -28,7 +28,7 @@
     for (int i = 0; i < UPSTREAMS; i++) {
         char name[] = {'u', (char)('0' + i), '\0'};
 
-        one_announce(o, one_upstream(name));
+        one_announce(o, one_upstream_info(name));
     }
 }
 
@@ -39,12 +39,12 @@
 {
     size_t bad = 0;
 
-    for (size_t i = 0; i < one_count(o, EF_START); i++) {
-        const struct ef_start *f = &one_get(o, EF_START, i)->u.start;
+    for (size_t i = 0; i < one_count_effects(o, EF_START); i++) {
+        const struct ef_start *f = &one_effect(o, EF_START, i)->u.start;
         bool fails = f->upstream.s[1] - '0' < failing;
 
         bad += fails ? 1 : 0;
-        one_end(o, f->call, START_DONE, !fails);
+        one_end_start(o, f->call, START_DONE, !fails);
     }
     return bad;
 }
@@ -91,8 +91,8 @@
     renew_all(o);
     one_run(o, 2 * USEC_PER_SEC);
     submit_round(o, 5);
-    for (size_t i = 0; i < one_count(o, EF_START); i++) {
-        const struct ef_start *f = &one_get(o, EF_START, i)->u.start;
+    for (size_t i = 0; i < one_count_effects(o, EF_START); i++) {
+        const struct ef_start *f = &one_effect(o, EF_START, i)->u.start;
 
         probes += f->upstream.s[1] == '0' ? 1 : 0;
     }
@@ -100,8 +100,8 @@
     (void)failing_round(o, 0);
     submit_round(o, 6);
     probes = 0;
-    for (size_t i = 0; i < one_count(o, EF_START); i++) {
-        const struct ef_start *f = &one_get(o, EF_START, i)->u.start;
+    for (size_t i = 0; i < one_count_effects(o, EF_START); i++) {
+        const struct ef_start *f = &one_effect(o, EF_START, i)->u.start;
 
         probes += f->upstream.s[1] == '0' ? 1 : 0;
     }
@@ -123,7 +123,7 @@
     }
     CU_ASSERT_EQUAL(entry_counters(o->e).quarantines, 2);
     submit_round(o, ROUNDS);
-    CU_ASSERT(one_count(o, EF_START) >= 16);
+    CU_ASSERT(one_count_effects(o, EF_START) >= 16);
     one_free(o);
 }
 
@@ -132,7 +132,7 @@
 {
     struct one *o = one_new(&(struct one_options){0});
 
-    one_announce(o, one_upstream("u0"));
+    one_announce(o, one_upstream_info("u0"));
     for (int round = 0; round < ROUNDS; round++) {
         submit_round(o, round);
         (void)failing_round(o, 1);
@@ -147,17 +147,17 @@
 cap_counts_the_whole_zone(void)
 {
     struct one *o = one_new(&(struct one_options){.peers = 1});
-    struct rec_upstream_info info = one_upstream("a0");
+    struct rec_upstream_info info = one_upstream_info("a0");
 
     info.holder = name_of("p0");
     info.epoch = 256;
     o->manual_fences = true;
-    one_news(o, "p0", info);
+    one_upstream_news(o, "p0", info);
     o->manual_fences = false;
     for (int i = 0; entry_gauges(o->e).upstreams_held == 0; i++) {
         char name[] = {'u', (char)('0' + i), '\0'};
 
-        one_announce(o, one_upstream(name));
+        one_announce(o, one_upstream_info(name));
     }
     for (int round = 0; round < ROUNDS; round++) {
         submit_round(o, round);
@@ -166,9 +166,9 @@
     CU_ASSERT_EQUAL(entry_counters(o->e).quarantines, 1);
     one_clear(o);
     info.quarantined = 1;
-    one_news(o, "p0", info);
-    CU_ASSERT_PTR_NOT_NULL_FATAL(one_sent(o, MSG_UPSTREAM_NEWS, 0));
-    CU_ASSERT_EQUAL(one_sent(o, MSG_UPSTREAM_NEWS, 0)
+    one_upstream_news(o, "p0", info);
+    CU_ASSERT_PTR_NOT_NULL_FATAL(one_message_sent(o, MSG_UPSTREAM_NEWS, 0));
+    CU_ASSERT_EQUAL(one_message_sent(o, MSG_UPSTREAM_NEWS, 0)
                         ->u.upstream_news.upstreams[0]
                         .quarantined,
                     0);
--- a/tests/jobs_test.c
+++ b/tests/jobs_test.c
@@ -98,7 +98,8 @@
     enet_run(n, SEC);
     for (int i = 0; i < 3; i++) {
         CU_ASSERT_TRUE(enet_problem(n, requests[i], PROBLEM_CONFLICT));
-        CU_ASSERT_TRUE(enet_answer(n, requests[i])->problem.not_by_this);
+        CU_ASSERT_TRUE(
+            enet_answer(n, requests[i])->problem.request_started_nothing);
         CU_ASSERT_FALSE(enet_answer(n, requests[i])->problem.not_run);
     }
     CU_ASSERT_EQUAL(enet_starts(n, key, ENET_WHOLE), 4);
@@ -221,7 +222,8 @@
     enet_run(n, 10 * SEC);
     for (int i = 4; i < 6; i++) {
         CU_ASSERT_TRUE(enet_problem(n, requests[i], PROBLEM_KEY_TOO_OLD));
-        CU_ASSERT_TRUE(enet_answer(n, requests[i])->problem.not_by_this);
+        CU_ASSERT_TRUE(
+            enet_answer(n, requests[i])->problem.request_started_nothing);
         CU_ASSERT_FALSE(enet_answer(n, requests[i])->problem.not_run);
     }
     CU_ASSERT_EQUAL(enet_starts(n, key, ENET_WHOLE), 4);
@@ -436,7 +438,7 @@
     CU_ASSERT_EQUAL(refusal(n, future, spec_of("camp", 1)),
                     PROBLEM_KEY_TOO_OLD);
     CU_ASSERT_EQUAL(n->n_starts, 0);
-    CU_ASSERT_EQUAL(jobs_active(n->nodes[1].e), 0);
+    CU_ASSERT_EQUAL(jobs_count_active(n->nodes[1].e), 0);
     enet_free(n);
 }
 
--- a/tests/one_entry.c
+++ b/tests/one_entry.c
@@ -101,8 +101,8 @@
         char text[NAME_SIZE];
 
         (void)snprintf(text, sizeof(text), "p%d", i);
-        peers[i + 1] = (struct entry_peer){name_of(text),
-                                           name_of(options->far ? "y" : "z")};
+        peers[i + 1] = (struct entry_peer){
+            name_of(text), name_of(options->peers_in_other_zone ? "y" : "z")};
     }
     eo.self = name_of("self");
     eo.incarnation = 1;
@@ -126,7 +126,7 @@
         .max_tasks = JOB_TASKS_MAX,
         .max_queued = 10000,
         .order = options->order,
-        .spill = options->far,
+        .spill = options->peers_in_other_zone,
     };
     o->teams[1] = (struct team_conf){.name = name_of("other"), .weight = 1};
     o->services[1] = o->services[0];
@@ -155,7 +155,7 @@
 }
 
 size_t
-one_count(const struct one *o, enum effect_kind kind)
+one_count_effects(const struct one *o, enum effect_kind kind)
 {
     size_t n = 0;
 
@@ -166,7 +166,7 @@
 }
 
 const struct effect *
-one_get(const struct one *o, enum effect_kind kind, size_t i)
+one_effect(const struct one *o, enum effect_kind kind, size_t i)
 {
     for (size_t k = 0; k < o->fx.n; k++) {
         if (o->fx.items[k].kind == kind && i-- == 0) {
@@ -177,7 +177,7 @@
 }
 
 const struct msg *
-one_sent(const struct one *o, enum msg_kind kind, size_t i)
+one_message_sent(const struct one *o, enum msg_kind kind, size_t i)
 {
     for (size_t k = 0; k < o->fx.n; k++) {
         const struct effect *f = &o->fx.items[k];
@@ -190,7 +190,7 @@
 }
 
 struct rec_upstream_info
-one_upstream(const char *name)
+one_upstream_info(const char *name)
 {
     return (struct rec_upstream_info){.upstream = name_of(name),
                                       .incarnation = 1,
@@ -215,7 +215,7 @@
 }
 
 void
-one_need(struct one *o, uint32_t cpu_milli)
+one_set_need(struct one *o, uint32_t cpu_milli)
 {
     o->need.cpu_milli = cpu_milli;
 }
@@ -253,7 +253,8 @@
 }
 
 void
-one_end(struct one *o, uint64_t call, enum start_outcome outcome, bool ok)
+one_end_start(struct one *o, uint64_t call, enum start_outcome outcome,
+              bool ok)
 {
     struct event ev = event_of(EV_TASK_ENDED);
 
@@ -265,24 +266,24 @@
 }
 
 size_t
-one_end_all(struct one *o, enum start_outcome outcome, bool ok)
+one_end_all_starts(struct one *o, enum start_outcome outcome, bool ok)
 {
-    size_t n = one_count(o, EF_START);
+    size_t n = one_count_effects(o, EF_START);
     uint64_t *calls = calloc(n + 1, sizeof(*calls));
 
     for (size_t i = 0; i < n; i++) {
-        calls[i] = one_get(o, EF_START, i)->u.start.call;
+        calls[i] = one_effect(o, EF_START, i)->u.start.call;
     }
     one_clear(o);
     for (size_t i = 0; i < n; i++) {
-        one_end(o, calls[i], outcome, ok);
+        one_end_start(o, calls[i], outcome, ok);
     }
     free(calls);
     return n;
 }
 
 void
-one_revoked(struct one *o, uint64_t call, enum revoke_outcome outcome)
+one_revoke_reply(struct one *o, uint64_t call, enum revoke_outcome outcome)
 {
     struct event ev = event_of(EV_TASK_REVOKED);
 
@@ -313,7 +314,8 @@
 }
 
 void
-one_load(struct one *o, const char *from, uint64_t running, uint64_t backlog)
+one_heartbeat_with_load(struct one *o, const char *from, uint64_t running,
+                        uint64_t backlog)
 {
     struct msg m = {.kind = MSG_HEARTBEAT};
     struct rec_load *load = calloc(1, sizeof(*load));
@@ -332,7 +334,8 @@
 }
 
 void
-one_news(struct one *o, const char *from, struct rec_upstream_info info)
+one_upstream_news(struct one *o, const char *from,
+                  struct rec_upstream_info info)
 {
     struct msg m = {.kind = MSG_UPSTREAM_NEWS};
 
@@ -357,8 +360,8 @@
 }
 
 bool
-one_ended(const struct one *o, uint64_t request, enum job_status status,
-          enum reason reason)
+one_answered_with(const struct one *o, uint64_t request,
+                  enum job_status status, enum reason reason)
 {
     const struct effect *f = one_answer(o, request);
 
--- a/tests/one_entry.h
+++ b/tests/one_entry.h
@@ -28,7 +28,7 @@
 /** struct one_options - zero values mean the default */
 struct one_options {
     int peers; /* other instances in the zone, up from the start */
-    bool far;  /* they are in another zone */
+    bool peers_in_other_zone;   /* they are in another zone */
     uint32_t slots_max_running; /* quota of the team */
     uint32_t starts_per_s;
     uint32_t queue_max;
@@ -49,35 +49,37 @@
 /** one_clear() - forgets the effects so far */
 void one_clear(struct one *o);
 
-/** one_count() - effects of a kind since one_clear() */
-size_t one_count(const struct one *o, enum effect_kind kind);
+/** one_count_effects() - effects of a kind since one_clear() */
+size_t one_count_effects(const struct one *o, enum effect_kind kind);
 
-/** one_get() - the @i-th of a kind, or NULL */
-const struct effect *one_get(const struct one *o, enum effect_kind kind,
-                             size_t i);
+/** one_effect() - the @i-th of a kind, or NULL */
+const struct effect *one_effect(const struct one *o, enum effect_kind kind,
+                                size_t i);
 
-/** one_sent() - the @i-th message of a kind, or NULL */
-const struct msg *one_sent(const struct one *o, enum msg_kind kind, size_t i);
+/** one_message_sent() - the @i-th message of a kind, or NULL */
+const struct msg *one_message_sent(const struct one *o, enum msg_kind kind,
+                                   size_t i);
 
-/** one_upstream() - what an upstream of 4 slots would announce */
-struct rec_upstream_info one_upstream(const char *name);
+/** one_upstream_info() - what an upstream of 4 slots would announce */
+struct rec_upstream_info one_upstream_info(const char *name);
 void one_announce(struct one *o, struct rec_upstream_info info);
 
-/** one_need() - what tasks submitted from now on need, in cpu_milli */
-void one_need(struct one *o, uint32_t cpu_milli);
+/** one_set_need() - what tasks submitted from now on need, in cpu_milli */
+void one_set_need(struct one *o, uint32_t cpu_milli);
 
 uint64_t one_submit(struct one *o, const char *key, int n_tasks,
                     int64_t run_us);
 void one_cancel(struct one *o, const char *key);
 
-/** one_end() - the start with that call ends */
-void one_end(struct one *o, uint64_t call, enum start_outcome outcome,
-             bool ok);
+/** one_end_start() - the start with that call ends */
+void one_end_start(struct one *o, uint64_t call, enum start_outcome outcome,
+                   bool ok);
 
-/** one_end_all() - the same for all starts since one_clear(), which then
- * forgets; returns how many there were */
-size_t one_end_all(struct one *o, enum start_outcome outcome, bool ok);
-void one_revoked(struct one *o, uint64_t call, enum revoke_outcome outcome);
+/** one_end_all_starts() - the same for all starts since one_clear(), which
+ * then forgets; returns how many there were */
+size_t one_end_all_starts(struct one *o, enum start_outcome outcome, bool ok);
+void one_revoke_reply(struct one *o, uint64_t call,
+                      enum revoke_outcome outcome);
 
 /** one_message() - from another instance, "p0" being the first */
 void one_message(struct one *o, const char *from, struct msg *m);
@@ -85,18 +87,21 @@
 /** one_heartbeat() - a peer says it is up */
 void one_heartbeat(struct one *o, const char *from, uint64_t incarnation);
 
-/** one_load() - the same, with what it runs and has queued of "camp" */
-void one_load(struct one *o, const char *from, uint64_t running,
-              uint64_t backlog);
+/** one_heartbeat_with_load() - the same, with what it runs and has queued of
+ * "camp" */
+void one_heartbeat_with_load(struct one *o, const char *from, uint64_t running,
+                             uint64_t backlog);
 
-/** one_news() - a peer tells of an upstream */
-void one_news(struct one *o, const char *from, struct rec_upstream_info info);
+/** one_upstream_news() - a peer tells of an upstream */
+void one_upstream_news(struct one *o, const char *from,
+                       struct rec_upstream_info info);
 
 /** one_answer() - the answer or problem a request got, or NULL */
 const struct effect *one_answer(const struct one *o, uint64_t request);
 
-/** one_ended() - whether it was answered with that status and reason */
-bool one_ended(const struct one *o, uint64_t request, enum job_status status,
-               enum reason reason);
+/** one_answered_with() - whether it was answered with that status and reason
+ */
+bool one_answered_with(const struct one *o, uint64_t request,
+                       enum job_status status, enum reason reason);
 
 #endif
--- a/tests/quota_test.c
+++ b/tests/quota_test.c
@@ -12,12 +12,12 @@
 limited(void)
 {
     struct one *o = one_new(&(struct one_options){
-        .peers = 1, .far = true, .slots_max_running = 8});
+        .peers = 1, .peers_in_other_zone = true, .slots_max_running = 8});
 
     for (int i = 0; i < 6; i++) {
         char name[] = {'u', (char)('0' + i), '\0'};
 
-        one_announce(o, one_upstream(name));
+        one_announce(o, one_upstream_info(name));
     }
     return o;
 }
@@ -36,7 +36,7 @@
 
     (void)one_submit(o, "a", 20, RUN_US);
     for (int i = 0; i < 4; i++) {
-        one_load(o, "p0", 0, 0);
+        one_heartbeat_with_load(o, "p0", 0, 0);
         one_run(o, USEC_PER_SEC / 4);
     }
     CU_ASSERT_EQUAL(running(o), 8);
@@ -50,7 +50,7 @@
     struct one *o = limited();
 
     for (int i = 0; i < 4; i++) {
-        one_load(o, "p0", 4, 16);
+        one_heartbeat_with_load(o, "p0", 4, 16);
         one_run(o, USEC_PER_SEC / 4);
     }
     (void)one_submit(o, "a", 20, RUN_US);
@@ -79,10 +79,10 @@
 queue_keeps_room_for_other_teams(void)
 {
     struct one *o = one_new(&(struct one_options){.queue_max = 40});
-    struct rec_upstream_info info = one_upstream("t0");
+    struct rec_upstream_info info = one_upstream_info("t0");
     size_t taken = 0;
 
-    one_announce(o, one_upstream("u0"));
+    one_announce(o, one_upstream_info("u0"));
     info.service = name_of("tents");
     one_announce(o, info);
     for (int i = 0; i < 30; i++) {
@@ -103,7 +103,7 @@
 other_zones_slots_count_at_admission(void)
 {
     struct one *o = one_new(&(struct one_options){
-        .peers = 1, .far = true, .deadline_us = USEC_PER_SEC});
+        .peers = 1, .peers_in_other_zone = true, .deadline_us = USEC_PER_SEC});
     struct msg m = {.kind = MSG_HEARTBEAT};
     struct rec_load *load = calloc(1, sizeof(*load));
 
@@ -120,7 +120,7 @@
     m.u.heartbeat.n_loads = 1;
     one_message(o, "p0", &m);
     CU_ASSERT_PTR_NULL(one_answer(o, one_submit(o, "a", 40, RUN_US)));
-    CU_ASSERT_PTR_NOT_NULL(one_sent(o, MSG_SLOT_REQUEST, 0));
+    CU_ASSERT_PTR_NOT_NULL(one_message_sent(o, MSG_SLOT_REQUEST, 0));
     one_free(o);
 }
 
--- a/tests/upclient_test.c
+++ b/tests/upclient_test.c
@@ -209,7 +209,7 @@
     f.u.start.key = key_id_of("k");
     f.u.start.index = index;
     f.u.start.payload = blob_new("{}", 2);
-    f.u.start.silent_us = SILENT_US;
+    f.u.start.silence_timeout_us = SILENT_US;
     upclient_begin(c, &f);
     return next_outcome(outcomes);
 }
