--- a/tests/upstream_test.c
+++ b/tests/upstream_test.c
@@ -12,7 +12,7 @@
 {
     one_clear(o);
     one_announce(o, info);
-    return one_get(o, EF_PROBLEM, 0);
+    return one_effect(o, EF_PROBLEM, 0);
 }
 
 static void
@@ -22,7 +22,7 @@
     struct rec_upstream_info bad[7];
 
     for (int i = 0; i < 7; i++) {
-        bad[i] = one_upstream("u");
+        bad[i] = one_upstream_info("u");
     }
     bad[0].zone = name_of("elsewhere");
     bad[1].slots = 0;
@@ -48,7 +48,7 @@
 late_announcement_of_an_earlier_life(void)
 {
     struct one *o = one_new(&(struct one_options){0});
-    struct rec_upstream_info info = one_upstream("u");
+    struct rec_upstream_info info = one_upstream_info("u");
     const struct effect *f;
 
     info.incarnation = 5;
@@ -57,7 +57,7 @@
     f = last_announced(o, info);
     CU_ASSERT(f != NULL && f->u.problem.problem == PROBLEM_STALE_LIFE);
     (void)one_submit(o, "a", 1, RUN_US);
-    CU_ASSERT_EQUAL(one_get(o, EF_START, 0)->u.start.incarnation, 5);
+    CU_ASSERT_EQUAL(one_effect(o, EF_START, 0)->u.start.incarnation, 5);
     one_free(o);
 }
 
@@ -66,7 +66,7 @@
 {
     struct one *o = one_new(&(struct one_options){0});
 
-    one_announce(o, one_upstream("u"));
+    one_announce(o, one_upstream_info("u"));
     one_run(o, 5 * USEC_PER_SEC);
     CU_ASSERT_EQUAL(entry_gauges(o->e).upstreams, 1);
     one_run(o, 2 * USEC_PER_SEC);
@@ -81,16 +81,16 @@
     struct event ev = {.kind = EV_LEAVE};
     uint64_t request;
 
-    one_announce(o, one_upstream("u"));
+    one_announce(o, one_upstream_info("u"));
     request = one_submit(o, "a", 6, RUN_US);
-    CU_ASSERT_EQUAL(one_count(o, EF_START), 4);
-    ev.u.announce.info = one_upstream("u");
+    CU_ASSERT_EQUAL(one_count_effects(o, EF_START), 4);
+    ev.u.announce.info = one_upstream_info("u");
     one_step(o, &ev);
-    CU_ASSERT_EQUAL(one_end_all(o, START_DONE, true), 4);
-    CU_ASSERT_EQUAL(one_count(o, EF_START), 0);
-    one_announce(o, one_upstream("v"));
-    CU_ASSERT_EQUAL(one_end_all(o, START_DONE, true), 2);
-    CU_ASSERT(one_ended(o, request, JOB_COMPLETE, REASON_COMPLETED));
+    CU_ASSERT_EQUAL(one_end_all_starts(o, START_DONE, true), 4);
+    CU_ASSERT_EQUAL(one_count_effects(o, EF_START), 0);
+    one_announce(o, one_upstream_info("v"));
+    CU_ASSERT_EQUAL(one_end_all_starts(o, START_DONE, true), 2);
+    CU_ASSERT(one_answered_with(o, request, JOB_COMPLETE, REASON_COMPLETED));
     one_free(o);
 }
 
@@ -103,15 +103,15 @@
     struct one *o = one_new(&(struct one_options){.peers = 1});
     struct event ev = {.kind = EV_DRAIN};
 
-    one_announce(o, one_upstream("u0"));
+    one_announce(o, one_upstream_info("u0"));
     ev.u.drain.request = 99;
     ev.u.drain.upstream = name_of("u0");
     one_step(o, &ev);
     one_clear(o);
-    one_announce(o, one_upstream("u0"));
-    CU_ASSERT_PTR_NULL(one_sent(o, MSG_UPSTREAM_NEWS, 0));
+    one_announce(o, one_upstream_info("u0"));
+    CU_ASSERT_PTR_NULL(one_message_sent(o, MSG_UPSTREAM_NEWS, 0));
     (void)one_submit(o, "a", 1, RUN_US);
-    CU_ASSERT_EQUAL(one_count(o, EF_START), 0);
+    CU_ASSERT_EQUAL(one_count_effects(o, EF_START), 0);
     one_free(o);
 }
 
@@ -123,30 +123,30 @@
 higher_epoch_ends_a_hold(void)
 {
     struct one *o = one_new(&(struct one_options){.peers = 1});
-    struct rec_upstream_info info = one_upstream("u");
+    struct rec_upstream_info info = one_upstream_info("u");
     uint64_t epoch;
 
-    for (char c = 'a'; one_count(o, EF_FENCE) == 0; c++) {
+    for (char c = 'a'; one_count_effects(o, EF_FENCE) == 0; c++) {
         char name[] = {'u', c, '\0'};
 
-        info = one_upstream(name);
+        info = one_upstream_info(name);
         one_announce(o, info);
     }
-    epoch = one_get(o, EF_FENCE, 0)->u.fence.epoch;
+    epoch = one_effect(o, EF_FENCE, 0)->u.fence.epoch;
     (void)one_submit(o, "a", 1, RUN_US);
-    CU_ASSERT_EQUAL(one_get(o, EF_START, 0)->u.start.epoch, epoch);
+    CU_ASSERT_EQUAL(one_effect(o, EF_START, 0)->u.start.epoch, epoch);
     info.epoch = epoch + 1000;
     info.holder = name_of("p0");
     o->manual_fences = true;
-    one_news(o, "p0", info);
+    one_upstream_news(o, "p0", info);
     CU_ASSERT_EQUAL(entry_gauges(o->e).upstreams_held, 0);
-    (void)one_end_all(o, START_STALE, false);
-    CU_ASSERT_EQUAL(one_count(o, EF_START), 0);
+    (void)one_end_all_starts(o, START_STALE, false);
+    CU_ASSERT_EQUAL(one_count_effects(o, EF_START), 0);
     o->manual_fences = false;
     one_run(o, 2 * USEC_PER_SEC);
     CU_ASSERT_EQUAL(entry_gauges(o->e).upstreams_held, 1);
-    CU_ASSERT_EQUAL(one_count(o, EF_START), 1);
-    CU_ASSERT(one_get(o, EF_START, 0)->u.start.epoch > info.epoch);
+    CU_ASSERT_EQUAL(one_count_effects(o, EF_START), 1);
+    CU_ASSERT(one_effect(o, EF_START, 0)->u.start.epoch > info.epoch);
     one_free(o);
 }
 
@@ -159,16 +159,16 @@
     struct event ev = {.kind = EV_FENCED};
 
     o->manual_fences = true;
-    one_announce(o, one_upstream("u"));
-    ev.u.fenced.call = one_get(o, EF_FENCE, 0)->u.fence.call;
+    one_announce(o, one_upstream_info("u"));
+    ev.u.fenced.call = one_effect(o, EF_FENCE, 0)->u.fence.call;
     ev.u.fenced.outcome = FENCE_STALE;
     ev.u.fenced.epoch = 70000;
     one_clear(o);
     one_step(o, &ev);
-    CU_ASSERT_EQUAL(one_count(o, EF_FENCE), 0);
+    CU_ASSERT_EQUAL(one_count_effects(o, EF_FENCE), 0);
     one_run(o, USEC_PER_SEC);
-    CU_ASSERT_EQUAL(one_count(o, EF_FENCE), 1);
-    CU_ASSERT(one_get(o, EF_FENCE, 0)->u.fence.epoch > 70000);
+    CU_ASSERT_EQUAL(one_count_effects(o, EF_FENCE), 1);
+    CU_ASSERT(one_effect(o, EF_FENCE, 0)->u.fence.epoch > 70000);
     one_free(o);
 }
 
@@ -179,12 +179,12 @@
 {
     struct one *o = one_new(&(struct one_options){0});
 
-    one_announce(o, one_upstream("u"));
+    one_announce(o, one_upstream_info("u"));
     (void)one_submit(o, "a", 9, RUN_US);
     o->manual_fences = true;
     o->now_us += 3 * USEC_PER_SEC;
-    (void)one_end_all(o, START_DONE, true);
-    CU_ASSERT_EQUAL(one_count(o, EF_START), 0);
+    (void)one_end_all_starts(o, START_DONE, true);
+    CU_ASSERT_EQUAL(one_count_effects(o, EF_START), 0);
     CU_ASSERT_EQUAL(entry_gauges(o->e).upstreams_held, 0);
     one_free(o);
 }
@@ -195,15 +195,15 @@
 foreign_tasks_take_slots(void)
 {
     struct one *o = one_new(&(struct one_options){0});
-    struct rec_upstream_info info = one_upstream("u");
+    struct rec_upstream_info info = one_upstream_info("u");
 
     o->fence_running = 3;
     one_announce(o, info);
     (void)one_submit(o, "a", 8, RUN_US);
-    CU_ASSERT_EQUAL(one_count(o, EF_START), 1);
+    CU_ASSERT_EQUAL(one_count_effects(o, EF_START), 1);
     info.busy = 2; /* our own and one foreign */
     one_announce(o, info);
-    CU_ASSERT_EQUAL(one_count(o, EF_START), 3);
+    CU_ASSERT_EQUAL(one_count_effects(o, EF_START), 3);
     one_free(o);
 }
 
@@ -214,13 +214,13 @@
 {
     struct one *o = one_new(&(struct one_options){.peers = 1});
 
-    one_announce(o, one_upstream("u"));
-    one_announce(o, one_upstream("v"));
+    one_announce(o, one_upstream_info("u"));
+    one_announce(o, one_upstream_info("v"));
     one_clear(o);
     one_heartbeat(o, "p0", 2);
-    CU_ASSERT_PTR_NOT_NULL_FATAL(one_sent(o, MSG_UPSTREAM_NEWS, 0));
-    CU_ASSERT(one_sent(o, MSG_UPSTREAM_NEWS, 0)->u.upstream_news.n_upstreams >=
-              1);
+    CU_ASSERT_PTR_NOT_NULL_FATAL(one_message_sent(o, MSG_UPSTREAM_NEWS, 0));
+    CU_ASSERT(one_message_sent(o, MSG_UPSTREAM_NEWS, 0)
+                  ->u.upstream_news.n_upstreams >= 1);
     one_free(o);
 }
 
@@ -233,14 +233,14 @@
     for (int i = 0; i < 8; i++) {
         char name[] = {'u', (char)('0' + i), '\0'};
 
-        one_announce(o, one_upstream(name));
+        one_announce(o, one_upstream_info(name));
     }
     CU_ASSERT(entry_gauges(o->e).upstreams_held > 0);
     one_clear(o);
     one_step(o, &ev);
-    CU_ASSERT_EQUAL(one_count(o, EF_STOPPED), 1);
+    CU_ASSERT_EQUAL(one_count_effects(o, EF_STOPPED), 1);
     CU_ASSERT_EQUAL(entry_gauges(o->e).upstreams_held, 0);
-    CU_ASSERT_PTR_NOT_NULL(one_sent(o, MSG_UPSTREAM_NEWS, 0));
+    CU_ASSERT_PTR_NOT_NULL(one_message_sent(o, MSG_UPSTREAM_NEWS, 0));
     one_free(o);
 }
 
@@ -254,7 +254,7 @@
     for (int i = 0; entry_gauges(o->e).upstreams_held == 0; i++) {
         char name[] = {'u', (char)('0' + i), '\0'};
 
-        one_announce(o, one_upstream(name));
+        one_announce(o, one_upstream_info(name));
     }
     one_clear(o);
     return o;
@@ -279,7 +279,8 @@
     const struct msg *m;
     uint64_t n = 0;
 
-    for (size_t k = 0; (m = one_sent(o, MSG_SLOT_GRANT, k)) != NULL; k++) {
+    for (size_t k = 0; (m = one_message_sent(o, MSG_SLOT_GRANT, k)) != NULL;
+         k++) {
         for (size_t i = 0; i < m->u.slot_grant.n_grants; i++) {
             n += m->u.slot_grant.grants[i].slots;
         }
@@ -310,13 +311,14 @@
 
     ask_for_slots(o, 2);
     CU_ASSERT_EQUAL(granted(o), 2);
-    grant = one_sent(o, MSG_SLOT_GRANT, 0)->u.slot_grant.grants[0].grant;
+    grant =
+        one_message_sent(o, MSG_SLOT_GRANT, 0)->u.slot_grant.grants[0].grant;
     (void)one_submit(o, "a", 8, RUN_US);
-    CU_ASSERT_EQUAL(one_count(o, EF_START), 2);
+    CU_ASSERT_EQUAL(one_count_effects(o, EF_START), 2);
     give_back(o, grant, 1, 0);
-    CU_ASSERT_EQUAL(one_count(o, EF_START), 3);
+    CU_ASSERT_EQUAL(one_count_effects(o, EF_START), 3);
     give_back(o, grant, 7, 0); /* more than it had */
-    CU_ASSERT(one_count(o, EF_START) <= 4);
+    CU_ASSERT(one_count_effects(o, EF_START) <= 4);
     one_free(o);
 }
 
@@ -330,19 +332,20 @@
     struct rec_upstream_info info;
 
     ask_for_slots(o, 4);
-    info = one_upstream(
-        one_sent(o, MSG_SLOT_GRANT, 0)->u.slot_grant.grants[0].upstream.s);
+    info = one_upstream_info(one_message_sent(o, MSG_SLOT_GRANT, 0)
+                                 ->u.slot_grant.grants[0]
+                                 .upstream.s);
     o->manual_fences = true;
     one_run(o, 3 * USEC_PER_SEC); /* p0 is down by now */
     one_clear(o);
     (void)one_submit(o, "a", 4, RUN_US);
-    CU_ASSERT_EQUAL(one_count(o, EF_START), 0);
+    CU_ASSERT_EQUAL(one_count_effects(o, EF_START), 0);
     info.busy = 3;
     one_announce(o, info);
-    CU_ASSERT_EQUAL(one_count(o, EF_START), 1);
+    CU_ASSERT_EQUAL(one_count_effects(o, EF_START), 1);
     info.busy = 1; /* our own */
     one_announce(o, info);
-    CU_ASSERT_EQUAL(one_count(o, EF_START), 4);
+    CU_ASSERT_EQUAL(one_count_effects(o, EF_START), 4);
     one_free(o);
 }
 
@@ -354,10 +357,10 @@
     struct one *o = lender();
 
     (void)one_submit(o, "a", 4, RUN_US);
-    CU_ASSERT_EQUAL(one_count(o, EF_START), 4);
+    CU_ASSERT_EQUAL(one_count_effects(o, EF_START), 4);
     ask_for_slots(o, 3);
     CU_ASSERT_EQUAL(granted(o), 0);
-    (void)one_end_all(o, START_DONE, true);
+    (void)one_end_all_starts(o, START_DONE, true);
     one_run(o, 100 * USEC_PER_MSEC);
     CU_ASSERT_EQUAL(granted(o), 3);
     one_free(o);
@@ -366,7 +369,7 @@
 static void
 receive_grant(struct one *o, uint64_t slots)
 {
-    struct rec_upstream_info info = one_upstream("far");
+    struct rec_upstream_info info = one_upstream_info("far");
     struct msg m = {.kind = MSG_SLOT_GRANT};
     struct rec_slot_grant *g = &m.u.slot_grant;
 
@@ -393,19 +396,19 @@
     uint64_t returned = 0;
 
     (void)one_submit(o, "a", 20, RUN_US);
-    CU_ASSERT_EQUAL(one_count(o, EF_START), 4);
+    CU_ASSERT_EQUAL(one_count_effects(o, EF_START), 4);
     receive_grant(o, 3);
-    CU_ASSERT_EQUAL(one_count(o, EF_START), 7);
-    CU_ASSERT_EQUAL(one_get(o, EF_START, 6)->u.start.epoch, 256);
-    while (one_end_all(o, START_DONE, true) > 0) {
+    CU_ASSERT_EQUAL(one_count_effects(o, EF_START), 7);
+    CU_ASSERT_EQUAL(one_effect(o, EF_START, 6)->u.start.epoch, 256);
+    while (one_end_all_starts(o, START_DONE, true) > 0) {
     }
     for (int i = 0; i < 8; i++) {
         one_heartbeat(o, "p0", 1);
         one_run(o, USEC_PER_SEC / 2);
     }
-    for (size_t i = 0; one_sent(o, MSG_SLOT_RETURN, i) != NULL; i++) {
+    for (size_t i = 0; one_message_sent(o, MSG_SLOT_RETURN, i) != NULL; i++) {
         const struct rec_slot_return *r =
-            &one_sent(o, MSG_SLOT_RETURN, i)->u.slot_return;
+            &one_message_sent(o, MSG_SLOT_RETURN, i)->u.slot_return;
 
         for (size_t k = 0; k < r->n_backs; k++) {
             returned += r->backs[k].slots;
@@ -413,7 +416,7 @@
     }
     CU_ASSERT_EQUAL(returned, 3);
     (void)one_submit(o, "b", 20, RUN_US);
-    CU_ASSERT_EQUAL(one_count(o, EF_START), 4);
+    CU_ASSERT_EQUAL(one_count_effects(o, EF_START), 4);
     one_free(o);
 }
 
@@ -429,9 +432,10 @@
     one_clear(o);
     m.u.slot_recall.service = name_of("camp");
     one_message(o, "p0", &m);
-    CU_ASSERT_PTR_NOT_NULL_FATAL(one_sent(o, MSG_SLOT_RETURN, 0));
+    CU_ASSERT_PTR_NOT_NULL_FATAL(one_message_sent(o, MSG_SLOT_RETURN, 0));
     CU_ASSERT_EQUAL(
-        one_sent(o, MSG_SLOT_RETURN, 0)->u.slot_return.backs[0].slots, 3);
+        one_message_sent(o, MSG_SLOT_RETURN, 0)->u.slot_return.backs[0].slots,
+        3);
     one_free(o);
 }
 
@@ -446,26 +450,26 @@
 
     receive_grant(o, 2);
     (void)one_submit(o, "a", 6, RUN_US);
-    CU_ASSERT_EQUAL(one_count(o, EF_START), 6);
+    CU_ASSERT_EQUAL(one_count_effects(o, EF_START), 6);
     for (size_t i = 0; i < 6; i++) {
-        const struct ef_start *f = &one_get(o, EF_START, i)->u.start;
+        const struct ef_start *f = &one_effect(o, EF_START, i)->u.start;
 
         if (f->epoch == 256) {
-            one_end(o, f->call, START_STALE, false);
+            one_end_start(o, f->call, START_STALE, false);
         }
     }
-    starts = one_count(o, EF_START);
+    starts = one_count_effects(o, EF_START);
     CU_ASSERT_EQUAL(starts, 6);
-    (void)one_end_all(o, START_DONE, true);
-    CU_ASSERT_EQUAL(one_count(o, EF_START), 2);
-    CU_ASSERT(one_get(o, EF_START, 0)->u.start.epoch != 256);
+    (void)one_end_all_starts(o, START_DONE, true);
+    CU_ASSERT_EQUAL(one_count_effects(o, EF_START), 2);
+    CU_ASSERT(one_effect(o, EF_START, 0)->u.start.epoch != 256);
     one_free(o);
 }
 
 static struct rec_upstream_info
 upstream_of_service(const char *name, int service)
 {
-    struct rec_upstream_info info = one_upstream(name);
+    struct rec_upstream_info info = one_upstream_info(name);
     char text[NAME_SIZE];
 
     (void)snprintf(text, sizeof(text), "s%d", service);
@@ -502,12 +506,12 @@
 {
     struct one *o = one_new(&(struct one_options){0});
     struct event ev = {.kind = EV_CONFIG};
-    struct rec_upstream_info info = one_upstream("u");
+    struct rec_upstream_info info = one_upstream_info("u");
     uint64_t call;
 
     one_announce(o, info);
     (void)one_submit(o, "a", 1, RUN_US);
-    call = one_get(o, EF_START, 0)->u.start.call;
+    call = one_effect(o, EF_START, 0)->u.start.call;
     o->config.version = 2;
     o->config.services = &o->services[1];
     o->config.n_services = 1;
@@ -518,15 +522,15 @@
         info.incarnation = (uint64_t)i + 2;
         one_announce(o, info);
     }
-    CU_ASSERT(dispatch_find(o->e, name_of("camp")) != NULL);
-    one_end(o, call, START_DONE, true);
+    CU_ASSERT(dispatch_find_service(o->e, name_of("camp")) != NULL);
+    one_end_start(o, call, START_DONE, true);
     CU_ASSERT_EQUAL(entry_gauges(o->e).tasks_running, 0);
     for (int i = 100; i < 200; i++) {
         info = upstream_of_service("u", i);
         info.incarnation = (uint64_t)i + 2;
         one_announce(o, info);
     }
-    CU_ASSERT(dispatch_find(o->e, name_of("camp")) == NULL);
+    CU_ASSERT(dispatch_find_service(o->e, name_of("camp")) == NULL);
     one_free(o);
 }
 
@@ -541,17 +545,17 @@
     const struct effect *f;
     char name[NAME_SIZE];
 
-    for (int i = 0; i < UNKNOWN_SERVICES_MAX + 100; i++) {
+    for (int i = 0; i < UNCONFIGURED_SERVICES_MAX + 100; i++) {
         (void)snprintf(name, sizeof(name), "u%d", i);
         one_clear(o);
         one_announce(o, upstream_of_service(name, i));
     }
-    f = one_get(o, EF_PROBLEM, 0);
+    f = one_effect(o, EF_PROBLEM, 0);
     CU_ASSERT(f != NULL && f->u.problem.problem == PROBLEM_OVERLOADED &&
               f->u.problem.retry_after_us > 0);
-    CU_ASSERT(o->e->dispatch->n_services <= UNKNOWN_SERVICES_MAX + 2);
+    CU_ASSERT(o->e->dispatch->n_services <= UNCONFIGURED_SERVICES_MAX + 2);
     CU_ASSERT(last_announced(o, upstream_of_service("v", 0)) == NULL);
-    CU_ASSERT(last_announced(o, one_upstream("w")) == NULL);
+    CU_ASSERT(last_announced(o, one_upstream_info("w")) == NULL);
     one_free(o);
 }
 
