--- a/src/admit.c
+++ b/src/admit.c
@@ -46,7 +46,7 @@
         if (u->service != s || u->info.leaving || u->info.quarantined) {
             continue;
         }
-        usable = upstreams_usable(u);
+        usable = upstreams_usable_slots(u);
         z.all += usable;
         z.held += u->held ? usable - u->lent : 0;
     }
@@ -101,8 +101,8 @@
     }
     z = zone_slots(e, s);
     n = more(z.held + borrowed(s), z.all / zone_members(e));
-    n += borrow_reachable(e, s);
-    quota = quotas_slots(e, s);
+    n += borrow_remote_free_slots(e, s);
+    quota = quotas_max_slots(e, s);
     n = n < quota ? n : quota;
     s->capacity = more(n, 1);
     s->capacity_at_us = e->now.mono_us;
@@ -426,7 +426,7 @@
     }
     a = refuse(PROBLEM_OVERLOADED, REASON_DEADLINE_HOPELESS,
                retry_after(e, late));
-    if (quotas_slots(e, s) <= s->capacity) {
+    if (quotas_max_slots(e, s) <= s->capacity) {
         a.problem = PROBLEM_QUOTA;
         a.reason = REASON_QUOTA;
     }
--- a/src/borrow.c
+++ b/src/borrow.c
@@ -109,10 +109,10 @@
 {
     const struct member *m = l->member;
 
-    if (l->heard_us == m->loads_us) {
+    if (l->heard_us == m->loads_received_us) {
         return;
     }
-    l->heard_us = m->loads_us;
+    l->heard_us = m->loads_received_us;
     l->free = 0;
     for (size_t i = 0; i < m->n_loads; i++) {
         if (name_equal(m->loads[i].service, s->name)) {
@@ -263,10 +263,10 @@
     return e->opts.fewer_messages ? us * SPARE_TIMES : us;
 }
 
-/** borrow_stop() - withdraws what holders still remember: otherwise each would
- * send slots that nobody needs any more, and have them sent back */
+/** borrow_withdraw() - withdraws what holders still remember: otherwise each
+ * would send slots that nobody needs any more, and have them sent back */
 void
-borrow_stop(struct entry *e, struct service_state *s)
+borrow_withdraw(struct entry *e, struct service_state *s)
 {
     struct borrowing *b = s->borrowing;
 
@@ -321,7 +321,7 @@
 }
 
 void
-borrow_ask(struct entry *e, struct service_state *s)
+borrow_request(struct entry *e, struct service_state *s)
 {
     struct borrowing *b = borrowing_of(e, s);
     uint32_t on_order = freshen(e, s);
@@ -348,7 +348,7 @@
 }
 
 void
-borrow_answered(struct entry *e, struct service_state *s, struct name from,
+borrow_on_grant(struct entry *e, struct service_state *s, struct name from,
                 const struct rec_slot_grant *m)
 {
     struct borrowing *b = borrowing_of(e, s);
@@ -378,7 +378,7 @@
 }
 
 uint32_t
-borrow_reachable(struct entry *e, struct service_state *s)
+borrow_remote_free_slots(struct entry *e, struct service_state *s)
 {
     struct borrowing *b = borrowing_of(e, s);
     uint32_t free_slots = 0;
@@ -404,7 +404,7 @@
 }
 
 bool
-borrow_busy(const struct entry *e, const struct service_state *s)
+borrow_has_pending(const struct entry *e, const struct service_state *s)
 {
     const struct borrowing *b = s->borrowing;
     int64_t now = e->now.mono_us;
@@ -445,12 +445,13 @@
 }
 
 void
-borrow_wait(struct entry *e, struct service_state *s, struct name from,
-            const struct rec_slot_request *r, uint32_t count)
+borrow_queue_request(struct entry *e, struct service_state *s,
+                     struct name from, const struct rec_slot_request *r,
+                     uint32_t count)
 {
     struct borrowing *b = borrowing_of(e, s);
     struct slot_wait *w = wait_of(b, from);
-    const struct member *m = members_of(e, from);
+    const struct member *m = members_by_name(e, from);
     int64_t rank_us = e->now.mono_us - (int64_t)r->waited_us;
 
     if (m == NULL || count == 0) {
@@ -476,7 +477,7 @@
 }
 
 void
-borrow_unwanted(struct entry *e, struct service_state *s, struct name from)
+borrow_drop_request(struct entry *e, struct service_state *s, struct name from)
 {
     struct slot_wait *w;
 
@@ -527,8 +528,8 @@
 lend_to(struct entry *e, struct service_state *s, struct slot_wait *w,
         uint32_t most)
 {
-    uint32_t given = lends_grant(e, s, w->from, w->request, w->need,
-                                 at_most(w->count, most), false);
+    uint32_t given = lend_grant(e, s, w->from, w->request, w->need,
+                                at_most(w->count, most), false);
 
     w->count -= given;
     w->first -= at_most(given, w->first);
@@ -539,7 +540,7 @@
 }
 
 void
-borrow_serve(struct entry *e, struct service_state *s)
+borrow_serve_requests(struct entry *e, struct service_state *s)
 {
     struct borrowing *b = s->borrowing;
     size_t n = b != NULL ? b->n_waits : 0;
@@ -563,7 +564,8 @@
 }
 
 bool
-borrow_before(struct entry *e, struct service_state *s, int64_t rank_us)
+borrow_serve_ranked_before(struct entry *e, struct service_state *s,
+                           int64_t rank_us)
 {
     struct borrowing *b = s->borrowing;
     struct slot_wait *w;
@@ -581,7 +583,7 @@
 }
 
 bool
-borrow_wanted(const struct service_state *s)
+borrow_has_demand(const struct service_state *s)
 {
     return s->n_queued > 0 ||
            (s->borrowing != NULL && s->borrowing->n_waits > 0);
@@ -593,7 +595,7 @@
 {
     struct borrowing *b = s->borrowing;
 
-    borrow_unwanted(e, s, member);
+    borrow_drop_request(e, s, member);
     for (size_t i = 0; b != NULL && i < b->n_lenders; i++) {
         if (name_equal(b->lenders[i].member->name, member)) {
             b->lenders[i].request = 0;
--- a/src/borrow.h
+++ b/src/borrow.h
@@ -16,44 +16,48 @@
 
 void borrow_free(struct borrowing *b);
 
-/** borrow_ask() - asks for slots for what is queued */
-void borrow_ask(struct entry *e, struct service_state *s);
+/** borrow_request() - asks for slots for what is queued */
+void borrow_request(struct entry *e, struct service_state *s);
 
-/** borrow_stop() - nothing is queued any more */
-void borrow_stop(struct entry *e, struct service_state *s);
+/** borrow_withdraw() - nothing is queued any more */
+void borrow_withdraw(struct entry *e, struct service_state *s);
 
-/** borrow_answered() - a holder granted slots, or none */
-void borrow_answered(struct entry *e, struct service_state *s,
+/** borrow_on_grant() - a holder granted slots, or none */
+void borrow_on_grant(struct entry *e, struct service_state *s,
                      struct name from, const struct rec_slot_grant *m);
 
-/** borrow_wait() - remembers that @from wants @count more slots */
-void borrow_wait(struct entry *e, struct service_state *s, struct name from,
-                 const struct rec_slot_request *r, uint32_t count);
+/** borrow_queue_request() - remembers that @from wants @count more slots */
+void borrow_queue_request(struct entry *e, struct service_state *s,
+                          struct name from, const struct rec_slot_request *r,
+                          uint32_t count);
 
-/** borrow_unwanted() - @from returned slots unused: it wants no more */
-void borrow_unwanted(struct entry *e, struct service_state *s,
-                     struct name from);
+/** borrow_drop_request() - @from returned slots unused: it wants no more */
+void borrow_drop_request(struct entry *e, struct service_state *s,
+                         struct name from);
 
-/** borrow_serve() - lends free slots to those who wait for some */
-void borrow_serve(struct entry *e, struct service_state *s);
+/** borrow_serve_requests() - lends free slots to those who wait for some */
+void borrow_serve_requests(struct entry *e, struct service_state *s);
 
-/** borrow_before() - lends slots to one that waits with a job that goes well
- * before the first of our own, whose rank is given; whether any went */
-bool borrow_before(struct entry *e, struct service_state *s, int64_t rank_us);
+/** borrow_serve_ranked_before() - lends slots to one that waits with a job
+ * that goes well before the first of our own, whose rank is given; whether any
+ * went */
+bool borrow_serve_ranked_before(struct entry *e, struct service_state *s,
+                                int64_t rank_us);
 
-/** borrow_wanted() - whether anybody here or elsewhere waits for slots */
-bool borrow_wanted(const struct service_state *s);
+/** borrow_has_demand() - whether anybody here or elsewhere waits for slots */
+bool borrow_has_demand(const struct service_state *s);
 
 void borrow_member_down(struct entry *e, struct service_state *s,
                         struct name member);
 
-/** borrow_reachable() - free slots at others, as far as known */
-uint32_t borrow_reachable(struct entry *e, struct service_state *s);
+/** borrow_remote_free_slots() - free slots at others, as far as known */
+uint32_t borrow_remote_free_slots(struct entry *e, struct service_state *s);
 
 /** borrow_next_us() - when to ask again */
 int64_t borrow_next_us(const struct service_state *s);
 
-/** borrow_busy() - whether a request of ours or another's is still open */
-bool borrow_busy(const struct entry *e, const struct service_state *s);
+/** borrow_has_pending() - whether a request of ours or another's is still open
+ */
+bool borrow_has_pending(const struct entry *e, const struct service_state *s);
 
 #endif
--- a/src/claim.c
+++ b/src/claim.c
@@ -91,7 +91,7 @@
 static int
 ask_rank(const struct entry *e, struct name voter)
 {
-    const struct member *m = members_of(e, voter);
+    const struct member *m = members_by_name(e, voter);
 
     if (m->self) {
         return 0;
@@ -243,7 +243,7 @@
         return false;
     }
     if (r->verdict == CLAIM_TAKEN) {
-        claimer = members_of(e, r->claimer);
+        claimer = members_by_name(e, r->claimer);
         if (claimer == NULL) {
             return false;
         }
@@ -324,7 +324,7 @@
 grant_stale(const struct entry *e, const struct ask *k)
 {
     return k->voter_incarnation < k->newest ||
-           k->voter_incarnation < members_of(e, k->voter)->incarnation;
+           k->voter_incarnation < members_by_name(e, k->voter)->incarnation;
 }
 
 struct tally {
@@ -431,7 +431,7 @@
 {
     struct claim_result r = {
         .outcome = CLAIM_OUTCOME_TAKEN,
-        .claimer = members_at(e, k->claimer)->name,
+        .claimer = members_by_index(e, k->claimer)->name,
         .incarnation = k->incarnation,
         .digest = k->digest,
         .purpose = k->purpose,
@@ -457,12 +457,12 @@
 static void
 settle_split(struct entry *e, struct attempt *a, const struct tally *t)
 {
-    uint16_t self = members_index(e, members_of(e, e->opts.self));
+    uint16_t self = members_index(e, members_by_name(e, e->opts.self));
 
     if (t->other != NULL && (t->grants == 0 || t->other->claimer <= self)) {
         e->counters.claims_yielded++;
         entry_log(e, LOG_INFO, REASON_CLAIM_YIELDED, &a->key.id, -1,
-                  members_at(e, t->other->claimer)->name,
+                  members_by_index(e, t->other->claimer)->name,
                   "%zu votes, the other has %zu", t->grants, t->other_votes);
         end_other(e, a, t->other);
         return;
--- a/src/claim_sync.c
+++ b/src/claim_sync.c
@@ -44,7 +44,7 @@
     to->attempt = r->attempt;
     to->incarnation = r->incarnation;
     if (!r->contested) {
-        to->claimer = members_at(e, r->claimer_index)->name;
+        to->claimer = members_by_index(e, r->claimer_index)->name;
     }
 }
 
@@ -78,13 +78,13 @@
                       const struct rec_sync_request *m)
 {
     struct voting *v = vote_zone_voter(e, m->zone);
-    struct member *asker = members_of(e, from);
+    struct member *asker = members_by_name(e, from);
     struct msg reply = {.kind = MSG_SYNC_REPLY};
     struct rec_sync_reply *r = &reply.u.sync_reply;
 
     if (fellow_of(v, from) == NULL ||
         m->page > e->claims->records.places / SYNC_PAGE ||
-        !members_met(e, asker, m->incarnation)) {
+        !members_mark_seen(e, asker, m->incarnation)) {
         return false;
     }
     r->zone = m->zone;
@@ -126,7 +126,7 @@
 take_copy(struct entry *e, int zone, const struct rec_claim_copy *c)
 {
     bool contested = name_empty(c->claimer);
-    const struct member *m = members_of(e, c->claimer);
+    const struct member *m = members_by_name(e, c->claimer);
     uint16_t claimer = m != NULL ? members_index(e, m) : 0;
     int64_t longest = vote_record_expiry_us(e, 0) + 2 * e->opts.clock_skew_us;
     struct claim *r;
@@ -193,7 +193,8 @@
     struct peer_voter *f = fellow_of(v, from);
     bool sense = true;
 
-    if (f == NULL || !members_met(e, members_of(e, from), m->incarnation)) {
+    if (f == NULL ||
+        !members_mark_seen(e, members_by_name(e, from), m->incarnation)) {
         return false;
     }
     if (v->ready || m->ready == 0 ||
@@ -220,7 +221,7 @@
     for (size_t i = 0; i < v->n_peers; i++) {
         struct peer_voter *f = &v->peers[i];
 
-        if (!f->synced && members_of(e, f->name)->up) {
+        if (!f->synced && members_by_name(e, f->name)->up) {
             request_page(e, zone, f);
         }
     }
--- a/src/dispatch.c
+++ b/src/dispatch.c
@@ -34,7 +34,7 @@
     map_init(&d->by_name, MAP_NAME);
     d->starts = starts_new();
     d->quotas = quotas_new();
-    d->lends = lends_new();
+    d->lending = lend_new();
     d->next_recheck_us = INT64_MAX;
     d->retry_tokens = TOKENS_START;
     d->sweep_threshold = SERVICES_START;
@@ -63,7 +63,7 @@
     map_clear(&d->by_name);
     starts_free(d->starts);
     quotas_free(d->quotas);
-    lends_free(d->lends);
+    lend_free(d->lending);
     free(d);
 }
 
@@ -109,7 +109,8 @@
 in_use(const struct entry *e, const struct service_state *s)
 {
     return s->conf != NULL || s->n_upstreams > 0 || s->n_jobs > 0 ||
-           s->n_running > 0 || s->pool.n_places > 0 || borrow_busy(e, s);
+           s->n_running > 0 || s->pool.n_places > 0 ||
+           borrow_has_pending(e, s);
 }
 
 /** sweep() - upstreams and other instances name services as they like, and
@@ -182,7 +183,7 @@
         read_conf(e, d->services[i]);
         dispatch_mark_dirty(e, d->services[i]);
     }
-    quotas_config(e);
+    quotas_reload(e);
 }
 
 /* The queue's books */
@@ -315,7 +316,7 @@
         struct task *t = &job->tasks[i];
 
         if (!handle_none(t->start)) {
-            starts_forget(e, t->start);
+            starts_detach_job(e, t->start);
             t->start = (struct handle){0};
         }
     }
@@ -384,7 +385,7 @@
     q->rack_bits = (q->rack_bits & p->rack_bit) != 0
                        ? p->rack_bit
                        : q->rack_bits | p->rack_bit;
-    quotas_started(e, q->service);
+    quotas_task_started(e, q->service);
     starts_send(e, job, index, p);
     earn_token(e);
 }
@@ -402,7 +403,7 @@
                             .idempotent = job->idempotent};
         struct place *p;
 
-        if (!quotas_allow(e, s)) {
+        if (!quotas_allow_start(e, s)) {
             return NO_QUOTA;
         }
         p = pool_pick(e, &s->pool, &pick);
@@ -426,7 +427,7 @@
     struct queued *q;
 
     while (n_aside < ASIDE_MAX && (q = queue_first(&s->queue)) != NULL) {
-        while (borrow_before(e, s, q->rank_us)) {
+        while (borrow_serve_ranked_before(e, s, q->rank_us)) {
         }
         end = s->pool.n_available > 0 ? serve_job(e, s, q) : NO_PLACE;
         if (end == NO_QUOTA || s->pool.n_available == 0) {
@@ -455,15 +456,16 @@
         return;
     }
     if (s->n_queued == 0) {
-        borrow_stop(e, s);
-        borrow_serve(e, s);
+        borrow_withdraw(e, s);
+        borrow_serve_requests(e, s);
     }
     else if (end != NO_QUOTA) {
-        borrow_ask(e, s);
+        borrow_request(e, s);
         dispatch_run_at(e, borrow_next_us(s));
     }
-    if (end != NO_QUOTA && borrow_wanted(s) && s->pool.own_free_slots == 0) {
-        lends_recall(e, s);
+    if (end != NO_QUOTA && borrow_has_demand(s) &&
+        s->pool.own_free_slots == 0) {
+        lend_recall(e, s);
     }
 }
 
@@ -526,7 +528,7 @@
     if (s == NULL || !name_equal(s->name, u->info.service)) {
         s = dispatch_ensure_service(e, u->info.service);
         if (u->place != NULL) {
-            slots_close(e, u->place);
+            slots_close_place(e, u->place);
         }
         if (u->service != NULL) {
             u->service->n_upstreams--;
@@ -535,13 +537,13 @@
         s->n_upstreams++;
     }
     if (!ours(e, u) && u->place != NULL) {
-        slots_close(e, u->place);
+        slots_close_place(e, u->place);
     }
     if (ours(e, u) && u->place == NULL) {
-        slots_own(e, s, u);
+        slots_add_own(e, s, u);
     }
-    slots_epoch(e, u);
-    slots_update(e, u);
+    slots_on_epoch_raised(e, u);
+    slots_update_place(e, u);
     s->capacity = 0;
     dispatch_mark_dirty(e, s);
 }
@@ -549,13 +551,13 @@
 void
 dispatch_upstream_gone(struct entry *e, struct handle upstream)
 {
-    struct upstream *u = upstreams_of(e, upstream);
+    struct upstream *u = upstreams_get(e, upstream);
 
     if (u == NULL) {
         return;
     }
-    starts_upstream_gone(e, u);
-    slots_upstream_gone(e, u);
+    starts_on_upstream_removed(e, u);
+    slots_on_upstream_removed(e, u);
     if (u->service != NULL) {
         u->service->capacity = 0;
         u->service->n_upstreams--;
@@ -611,7 +613,7 @@
             dispatch_mark_dirty(e, s);
         }
     }
-    if (borrow_next_us(s) <= e->now.mono_us || borrow_wanted(s)) {
+    if (borrow_next_us(s) <= e->now.mono_us || borrow_has_demand(s)) {
         dispatch_mark_dirty(e, s);
     }
 }
--- a/src/dispatch_state.h
+++ b/src/dispatch_state.h
@@ -18,7 +18,7 @@
 struct job;
 struct starts;
 struct quotas;
-struct lends;
+struct lending;
 struct quota;
 struct borrowing;
 
@@ -81,7 +81,7 @@
     size_t sweep_threshold; /* services, at which unused ones are dropped */
     struct starts *starts;
     struct quotas *quotas;
-    struct lends *lends;
+    struct lending *lending;
     uint32_t n_queued;
     bool dirty;              /* some service is */
     int64_t next_recheck_us; /* a place may be used again */
--- a/src/dump.c
+++ b/src/dump.c
@@ -88,7 +88,7 @@
         put(o, "slots", u->info.slots);
         put(o, "running", u->running);
         put(o, "lent", u->lent);
-        put(o, "foreign", u->foreign);
+        put(o, "foreign", u->foreign_busy);
         (void)json_object_set_new(o, "held", json_boolean(u->held));
         (void)json_object_set_new(o, "leaving",
                                   json_boolean(u->info.leaving != 0));
--- a/src/entry.c
+++ b/src/entry.c
@@ -166,7 +166,7 @@
     e->random = o->seed;
     e->explain = explain_new();
     e->members = members_new(e);
-    e->moved = moved_new();
+    e->successors = successors_new();
     e->handover = handover_new();
     e->claims = claims_new(e);
     e->jobs = jobs_new(e);
@@ -206,7 +206,7 @@
     jobs_free(e->jobs);
     claims_free(e->claims);
     handover_free(e->handover);
-    moved_free(e->moved);
+    successors_free(e->successors);
     members_free(e->members);
     explain_free(e->explain);
     config_free(e->config);
@@ -241,8 +241,8 @@
     if (gap >= e->opts.claim_window_us / CLAIM_WINDOW_DIVISOR) {
         e->refuse_bare_until_us = e->now.mono_us + STALE_REQUESTS_US;
     }
-    holders_let_go(e);
-    members_paused(e);
+    holders_release_all(e);
+    members_after_pause(e);
 }
 
 void
@@ -295,7 +295,7 @@
         handover_on_message(e, from, m);
         break;
     case MSG_MOVES:
-        moved_on_message(e, from, &m->u.moves);
+        successors_on_message(e, from, &m->u.moves);
         break;
     case MSG_UPSTREAM_NEWS:
         upstreams_on_news(e, from, &m->u.upstream_news);
@@ -338,7 +338,7 @@
     e->stopping = true;
     entry_log(e, LOG_NOTICE, REASON_STOPPING, NULL, -1, name_of(""),
               "%zu jobs in progress", jobs_count_active(e));
-    members_stopping(e);
+    members_announce_stopping(e);
 }
 
 static void
@@ -350,7 +350,7 @@
         (busy && !MUTANT(e, STOP_AT_ONCE))) {
         return;
     }
-    if (!handover_done(e)) {
+    if (!handover_advance(e)) {
         return;
     }
     e->stop_reported = true;
@@ -401,10 +401,10 @@
         on_message(e, ev->u.message.from, ev->u.message.msg);
         break;
     case EV_PEER_UP:
-        members_on_peer(e, ev->u.peer.peer, true);
+        members_on_connection(e, ev->u.peer.peer, true);
         break;
     case EV_PEER_DOWN:
-        members_on_peer(e, ev->u.peer.peer, false);
+        members_on_connection(e, ev->u.peer.peer, false);
         break;
     case EV_DRAIN:
         upstreams_on_drain(e, &ev->u.drain);
@@ -490,7 +490,8 @@
         g->upstreams_held += u->held ? 1 : 0;
     }
     for (size_t i = 0; e->config != NULL && i < e->config->n_services; i++) {
-        g->slots_free += upstreams_free_slots(e, e->config->services[i].name);
+        g->slots_free +=
+            upstreams_service_free_slots(e, e->config->services[i].name);
     }
 }
 
--- a/src/entry_state.h
+++ b/src/entry_state.h
@@ -38,7 +38,7 @@
 struct dispatch;
 struct follow;
 struct explain;
-struct moved;
+struct successors;
 struct handover;
 
 struct entry {
@@ -63,7 +63,7 @@
     struct dispatch *dispatch;
     struct follow *follow;
     struct explain *explain;
-    struct moved *moved;
+    struct successors *successors;
     struct handover *handover;
 };
 
--- a/src/follow.c
+++ b/src/follow.c
@@ -111,7 +111,7 @@
 {
     struct msg m = {.kind = MSG_CONFIG_REQUEST};
 
-    if (members_of(e, server) == NULL) {
+    if (members_by_name(e, server) == NULL) {
         report_zone(e, &m.u.config_request);
     }
 
@@ -331,7 +331,7 @@
     int control = control_number(e, from);
 
     if (e->opts.n_controls == 0 ||
-        (control < 0 && members_of(e, from) == NULL)) {
+        (control < 0 && members_by_name(e, from) == NULL)) {
         e->counters.messages_bad++;
         return;
     }
@@ -402,7 +402,7 @@
 on_request(struct entry *e, struct name from,
            const struct rec_config_request *m)
 {
-    if (members_of(e, from) == NULL || name_equal(from, e->opts.self)) {
+    if (members_by_name(e, from) == NULL || name_equal(from, e->opts.self)) {
         e->counters.messages_bad++;
         return;
     }
--- a/src/handover.c
+++ b/src/handover.c
@@ -66,10 +66,11 @@
 {
     const struct member *far = NULL;
     size_t n = e->opts.n_peers;
-    size_t own = members_index(e, members_of(e, e->opts.self));
+    size_t own = members_index(e, members_by_name(e, e->opts.self));
 
     for (size_t i = 1; i < n; i++) {
-        const struct member *m = members_at(e, (uint16_t)((own + i) % n));
+        const struct member *m =
+            members_by_index(e, (uint16_t)((own + i) % n));
 
         if (!m->up || m->stopping) {
             continue;
@@ -169,9 +170,9 @@
     h->successor_incarnation = m->incarnation;
     h->at = 0;
     h->batch++;
-    moved_set(e, e->opts.self, e->opts.incarnation, m->name, m->incarnation,
-              e->opts.answer_keep_us);
-    members_stopping(e);
+    successors_set(e, e->opts.self, e->opts.incarnation, m->name,
+                   m->incarnation, e->opts.answer_keep_us);
+    members_announce_stopping(e);
     if (!send_batch(e)) {
         finish(e, 0);
     }
@@ -182,8 +183,8 @@
 {
     struct handover *h = e->handover;
 
-    holders_let_go(e);
-    h->end_us = e->now.mono_us + HANDOVER_US;
+    holders_release_all(e);
+    h->end_us = e->now.mono_us + HANDOVER_TIMEOUT_US;
     h->phase = HANDOVER_SENDING;
     if (answers_kept(e) == 0) {
         h->phase = HANDOVER_OVER;
@@ -196,7 +197,7 @@
 go_on(struct entry *e)
 {
     struct handover *h = e->handover;
-    const struct member *m = members_of(e, h->successor);
+    const struct member *m = members_by_name(e, h->successor);
 
     if (e->now.mono_us >= h->end_us) {
         finish(e, answers_left(e));
@@ -213,7 +214,7 @@
 }
 
 bool
-handover_done(struct entry *e)
+handover_advance(struct entry *e)
 {
     struct handover *h = e->handover;
 
@@ -247,7 +248,7 @@
         return; /* late or doubled */
     }
     if (m->refused != 0) {
-        members_of(e, from)->stopping = true;
+        members_by_name(e, from)->stopping = true;
         begin_with(e, choose(e));
         return;
     }
@@ -290,7 +291,7 @@
 on_handover(struct entry *e, struct name from,
             const struct rec_answer_handover *m)
 {
-    const struct member *sender = members_of(e, from);
+    const struct member *sender = members_by_name(e, from);
     struct msg reply = {.kind = MSG_ANSWER_TAKEN};
 
     if (sender == NULL || sender->self ||
@@ -307,8 +308,8 @@
     reply.u.answer_taken.batch = m->batch;
     reply.u.answer_taken.refused = e->stopping ? 1 : 0;
     if (!e->stopping) {
-        moved_set(e, from, m->incarnation, e->opts.self, e->opts.incarnation,
-                  e->opts.answer_keep_us);
+        successors_set(e, from, m->incarnation, e->opts.self,
+                       e->opts.incarnation, e->opts.answer_keep_us);
         for (size_t i = 0; i < m->n_answers; i++) {
             take_one(e, &m->answers[i]);
         }
--- a/src/health.c
+++ b/src/health.c
@@ -36,7 +36,7 @@
     if (h == NULL) {
         abort();
     }
-    h->slowness = 1.0;
+    h->run_time_ratio = 1.0;
     return h;
 }
 
@@ -97,12 +97,12 @@
     struct census c = count(e, u->info.service);
 
     if (c.quarantined >= most(e, &c)) {
-        if (!u->health->capped) {
+        if (!u->health->cap_logged) {
             entry_log(e, LOG_WARNING, REASON_QUARANTINE_CAP, NULL, -1, u->name,
                       "%u failures in a row; %u of %u are quarantined",
                       u->health->failures, c.quarantined, c.all);
         }
-        u->health->capped = true;
+        u->health->cap_logged = true;
         return;
     }
     u->info.quarantined = 1;
@@ -110,7 +110,7 @@
     e->counters.quarantines++;
     entry_log(e, LOG_WARNING, REASON_QUARANTINED, NULL, -1, u->name,
               "%u failures in a row", u->health->failures);
-    upstreams_tell(e, u);
+    upstreams_notify_zone(e, u);
     dispatch_upstream_changed(e, u);
 }
 
@@ -120,7 +120,7 @@
     u->info.quarantined = 0;
     u->health->failures = 0;
     entry_log(e, LOG_NOTICE, REASON_RESTORED, NULL, -1, u->name, "%s", why);
-    upstreams_tell(e, u);
+    upstreams_notify_zone(e, u);
     dispatch_upstream_changed(e, u);
 }
 
@@ -132,14 +132,16 @@
 }
 
 void
-health_ok(struct entry *e, struct upstream *u, double over_expected)
+health_task_succeeded(struct entry *e, struct upstream *u,
+                      double over_expected)
 {
     struct health *h = u->health;
 
     h->failures = 0;
-    h->capped = false;
+    h->cap_logged = false;
     if (over_expected > 0) {
-        h->slowness += SLOWNESS_WEIGHT * (over_expected - h->slowness);
+        h->run_time_ratio +=
+            SLOWNESS_WEIGHT * (over_expected - h->run_time_ratio);
     }
     if (u->info.quarantined && decides(e, u)) {
         restore(e, u, "a task succeeded");
@@ -164,7 +166,7 @@
 }
 
 void
-health_failed(struct entry *e, struct upstream *u, uint32_t times)
+health_task_failed(struct entry *e, struct upstream *u, uint32_t times)
 {
     struct health *h = u->health;
 
@@ -191,8 +193,8 @@
 }
 
 bool
-health_probe_suits(const struct entry *e, const struct upstream *u,
-                   bool idempotent)
+health_probe_allowed(const struct entry *e, const struct upstream *u,
+                     bool idempotent)
 {
     int64_t patience = u->health->probe_us + u->health->backoff_us;
 
@@ -205,14 +207,14 @@
     const struct health *h = u->health;
     uint32_t penalty = h->failures > 0 ? PENALTY_FAILED : 0;
 
-    if (h->slowness > VERY_SLOW) {
+    if (h->run_time_ratio > VERY_SLOW) {
         return penalty + PENALTY_VERY_SLOW;
     }
-    return h->slowness > SLOW ? penalty + PENALTY_SLOW : penalty;
+    return h->run_time_ratio > SLOW ? penalty + PENALTY_SLOW : penalty;
 }
 
 void
-health_taken(struct entry *e, struct upstream *u)
+health_on_held(struct entry *e, struct upstream *u)
 {
     if (u->info.quarantined) {
         begin_backoff(e, u);
@@ -220,7 +222,7 @@
 }
 
 void
-health_heard(struct entry *e, struct upstream *u, bool quarantined)
+health_on_report(struct entry *e, struct upstream *u, bool quarantined)
 {
     struct census c;
 
--- a/src/health.h
+++ b/src/health.h
@@ -17,44 +17,46 @@
  * @failures: in a row
  * @probe_us: the next probe is not before
  * @backoff_us: between probes; doubles
- * @capped: quarantine was due but the cap stood against it, and was logged
- * @slowness: run time over the expected one, moving mean
+ * @cap_logged: quarantine was due but the cap stood against it, and was logged
+ * @run_time_ratio: run time over the expected one, moving mean
  */
 struct health {
     uint32_t failures;
     int64_t probe_us;
     int64_t backoff_us;
-    bool capped;
-    double slowness;
+    bool cap_logged;
+    double run_time_ratio;
 };
 
 struct health *health_new(void);
 void health_free(struct health *h);
 
-/** health_ok() - a task ran there and succeeded; @over_expected is its run
- * time over the expected one, 0 if not known */
-void health_ok(struct entry *e, struct upstream *u, double over_expected);
+/** health_task_succeeded() - a task ran there and succeeded; @over_expected is
+ * its run time over the expected one, 0 if not known */
+void health_task_succeeded(struct entry *e, struct upstream *u,
+                           double over_expected);
 
-/** health_failed() - @times failures in a row, of whatever kind */
-void health_failed(struct entry *e, struct upstream *u, uint32_t times);
+/** health_task_failed() - @times failures in a row, of whatever kind */
+void health_task_failed(struct entry *e, struct upstream *u, uint32_t times);
 
 /** health_may_probe() - whether a quarantined upstream may be given a task */
 bool health_may_probe(const struct entry *e, const struct upstream *u);
 
-/** health_probe_suits() - a probe may well fail, so for a while only tasks
+/** health_probe_allowed() - a probe may well fail, so for a while only tasks
  * of idempotent jobs are used, which their callers can repeat */
-bool health_probe_suits(const struct entry *e, const struct upstream *u,
-                        bool idempotent);
+bool health_probe_allowed(const struct entry *e, const struct upstream *u,
+                          bool idempotent);
 
 /** health_penalty() - levels (place.h) that an upstream ranks behind equals */
 uint32_t health_penalty(const struct upstream *u);
 
-/** health_heard() - a holder told whether its upstream is quarantined; where
- * two holders did so at once and the cap is passed, one of them restores */
-void health_heard(struct entry *e, struct upstream *u, bool quarantined);
+/** health_on_report() - a holder told whether its upstream is quarantined;
+ * where two holders did so at once and the cap is passed, one of them restores
+ */
+void health_on_report(struct entry *e, struct upstream *u, bool quarantined);
 
-/** health_taken() - this instance became the holder of a quarantined one */
-void health_taken(struct entry *e, struct upstream *u);
+/** health_on_held() - this instance became the holder of a quarantined one */
+void health_on_held(struct entry *e, struct upstream *u);
 
 /** health_next_us() - when the upstream's next probe falls due */
 int64_t health_next_us(const struct upstream *u);
--- a/src/holder.c
+++ b/src/holder.c
@@ -136,7 +136,7 @@
     c->upstream = u->self;
     c->epoch = next_epoch(e, u->info.epoch);
     map_put(&hs->fence_by_call, c);
-    u->fencing = true;
+    u->fence_pending = true;
     f->call = c->call;
     f->upstream = u->name;
     f->address = u->info.address;
@@ -146,11 +146,11 @@
 }
 
 void
-holders_pick(struct entry *e, struct upstream *u)
+holders_try_fence(struct entry *e, struct upstream *u)
 {
     const struct member *picked;
 
-    if (u->held || u->fencing || u->info.leaving ||
+    if (u->held || u->fence_pending || u->info.leaving ||
         e->opts.placement != PLACE_HOLDER) {
         return;
     }
@@ -166,7 +166,7 @@
 }
 
 void
-holders_drop(struct entry *e, struct upstream *u)
+holders_end_hold(struct entry *e, struct upstream *u)
 {
     if (!u->held) {
         return;
@@ -204,12 +204,12 @@
     u->fence_failures = 0;
     u->info.epoch = epoch;
     u->info.holder = e->opts.self;
-    u->foreign = ev->running > known ? ev->running - known : 0;
-    health_taken(e, u);
+    u->foreign_busy = ev->running > known ? ev->running - known : 0;
+    health_on_held(e, u);
     entry_log(e, LOG_INFO, REASON_HOLDER_TAKEN, NULL, -1, u->name,
               "epoch %llu, %u running there", (unsigned long long)epoch,
               ev->running);
-    upstreams_tell(e, u);
+    upstreams_notify_zone(e, u);
     dispatch_upstream_changed(e, u);
 }
 
@@ -224,13 +224,13 @@
     if (c == NULL) {
         return;
     }
-    u = upstreams_of(e, c->upstream);
+    u = upstreams_get(e, c->upstream);
     epoch = c->epoch;
     table_remove(&hs->fences, c->self);
     if (u == NULL) {
         return;
     }
-    u->fencing = false;
+    u->fence_pending = false;
     if (ev->outcome == FENCE_OK && epoch > u->info.epoch) {
         on_held(e, u, ev, epoch);
         return;
@@ -245,19 +245,19 @@
 /* What others say and do */
 
 void
-holders_stale(struct entry *e, struct upstream *u)
+holders_on_stale_epoch(struct entry *e, struct upstream *u)
 {
     if (!u->held) {
         return;
     }
-    holders_drop(e, u);
+    holders_end_hold(e, u);
     u->info.holder = name_of("");
     dispatch_upstream_changed(e, u);
     back_off(e, u);
 }
 
 void
-holders_let_go(struct entry *e)
+holders_release_all(struct entry *e)
 {
     struct upstream *u;
     uint32_t at = 0;
@@ -267,23 +267,23 @@
             continue;
         }
         u->info.holder = name_of("");
-        holders_drop(e, u);
+        holders_end_hold(e, u);
         dispatch_upstream_changed(e, u);
-        upstreams_tell(e, u);
+        upstreams_notify_zone(e, u);
         u->fence_retry_us = e->now.mono_us + FENCE_BACKOFF_US;
         upstreams_wake_at(e, u->fence_retry_us);
     }
 }
 
 void
-holders_learn(struct entry *e, struct upstream *u,
-              const struct rec_upstream_info *info)
+holders_merge_info(struct entry *e, struct upstream *u,
+                   const struct rec_upstream_info *info)
 {
     if (info->epoch > u->info.epoch) {
         u->info.epoch = info->epoch;
         u->info.holder = info->holder;
         if (u->held) {
-            holders_drop(e, u);
+            holders_end_hold(e, u);
             back_off(e, u);
         }
         dispatch_upstream_changed(e, u);
--- a/src/holder.h
+++ b/src/holder.h
@@ -14,27 +14,28 @@
 struct holders *holders_new(void);
 void holders_free(struct holders *hs);
 
-/** holders_pick() - fences an upstream that this instance should hold and does
- * not hold yet */
-void holders_pick(struct entry *e, struct upstream *u);
+/** holders_try_fence() - fences an upstream that this instance should hold and
+ * does not hold yet */
+void holders_try_fence(struct entry *e, struct upstream *u);
 
 /** holders_on_fenced() - a fence was answered, or failed */
 void holders_on_fenced(struct entry *e, const struct ev_fenced *ev);
 
-/** holders_learn() - takes over a holder with a later epoch from another
+/** holders_merge_info() - takes over a holder with a later epoch from another
  * member's news; a hold of ours ends with it */
-void holders_learn(struct entry *e, struct upstream *u,
-                   const struct rec_upstream_info *info);
+void holders_merge_info(struct entry *e, struct upstream *u,
+                        const struct rec_upstream_info *info);
 
-/** holders_drop() - forgets the hold, if there is one; the caller sees to what
- * was placed under it */
-void holders_drop(struct entry *e, struct upstream *u);
+/** holders_end_hold() - forgets the hold, if there is one; the caller sees to
+ * what was placed under it */
+void holders_end_hold(struct entry *e, struct upstream *u);
 
-/** holders_stale() - a start was refused under this epoch: the hold and what
- * was lent under it are over */
-void holders_stale(struct entry *e, struct upstream *u);
+/** holders_on_stale_epoch() - a start was refused under this epoch: the hold
+ * and what was lent under it are over */
+void holders_on_stale_epoch(struct entry *e, struct upstream *u);
 
-/** holders_let_go() - drops every hold at once, after a pause or on stop */
-void holders_let_go(struct entry *e);
+/** holders_release_all() - drops every hold at once, after a pause or on stop
+ */
+void holders_release_all(struct entry *e);
 
 #endif
--- a/src/job_peer.c
+++ b/src/job_peer.c
@@ -38,7 +38,7 @@
 static bool
 claimer_gone(const struct entry *e, const struct job *job)
 {
-    const struct member *m = members_of(e, job->claimer);
+    const struct member *m = members_by_name(e, job->claimer);
 
     if (m == NULL || m->self || m->incarnation > job->claimer_incarnation) {
         return true;
@@ -93,7 +93,7 @@
     struct name at = job->claimer;
     uint64_t incarnation = job->claimer_incarnation;
 
-    if (!moved_find(e, &at, &incarnation)) {
+    if (!successors_follow(e, &at, &incarnation)) {
         give_up_claimer(e, job);
         return;
     }
@@ -239,7 +239,7 @@
 {
     struct job *job = jobs_by_key(e, m->key);
 
-    if (members_of(e, from) == NULL) {
+    if (members_by_name(e, from) == NULL) {
         return false;
     }
     if (job == NULL) {
@@ -334,7 +334,7 @@
 
     if (job == NULL || job->phase != JOB_JOINED ||
         !key_id_equal(job->id, m->key) || !name_equal(job->claimer, from)) {
-        return members_of(e, from) != NULL; /* late or doubled */
+        return members_by_name(e, from) != NULL; /* late or doubled */
     }
     switch (m->outcome) {
     case WAIT_ANSWER:
--- a/src/lend.c
+++ b/src/lend.c
@@ -35,7 +35,7 @@
     int64_t quiet_us; /* it is not asked before */
 };
 
-struct lends {
+struct lending {
     struct table lents;
     struct map lent_by_grant;
     struct timers lent_timers;
@@ -44,10 +44,10 @@
     int64_t recall_us; /* nobody is asked before */
 };
 
-struct lends *
-lends_new(void)
+struct lending *
+lend_new(void)
 {
-    struct lends *ls = calloc(1, sizeof(*ls));
+    struct lending *ls = calloc(1, sizeof(*ls));
 
     if (ls == NULL) {
         abort();
@@ -58,7 +58,7 @@
 }
 
 void
-lends_free(struct lends *ls)
+lend_free(struct lending *ls)
 {
     map_clear(&ls->lent_by_grant);
     table_clear(&ls->lents);
@@ -74,7 +74,7 @@
 
 /** debtor_of() - what a borrower has of a service's slots */
 static struct debtor *
-debtor_of(struct lends *ls, struct name borrower)
+debtor_of(struct lending *ls, struct name borrower)
 {
     for (size_t i = 0; i < ls->n_debtors; i++) {
         if (name_equal(ls->debtors[i].borrower, borrower)) {
@@ -90,7 +90,7 @@
 static void
 count_debts(struct entry *e, const struct service_state *s)
 {
-    struct lends *ls = e->dispatch->lends;
+    struct lending *ls = e->dispatch->lending;
     int64_t before =
         e->now.mono_us - estimate_mean_us(&s->run_estimate, DEBT_US);
     struct handle h;
@@ -101,7 +101,7 @@
         ls->debtors[i].slots = 0;
     }
     while ((l = table_next(&ls->lents, &at, &h)) != NULL) {
-        const struct upstream *u = upstreams_of(e, l->upstream);
+        const struct upstream *u = upstreams_get(e, l->upstream);
 
         if (u != NULL && u->service == s && l->since_us < before) {
             debtor_of(ls, l->borrower)->slots += l->slots;
@@ -110,9 +110,9 @@
 }
 
 void
-lends_recall(struct entry *e, struct service_state *s)
+lend_recall(struct entry *e, struct service_state *s)
 {
-    struct lends *ls = e->dispatch->lends;
+    struct lending *ls = e->dispatch->lending;
     struct debtor *most = NULL;
     struct msg m = {.kind = MSG_SLOT_RECALL};
 
@@ -160,7 +160,7 @@
 lend(struct entry *e, struct place *p, struct name borrower,
      struct resources need, uint32_t slots, struct rec_grant *g)
 {
-    struct lends *ls = e->dispatch->lends;
+    struct lending *ls = e->dispatch->lending;
     struct upstream *u = p->upstream;
     struct handle h;
     struct lent *l = table_add(&ls->lents, &h);
@@ -203,7 +203,7 @@
             return p;
         }
         /* Borrowed slots are not lent on: they are idle, so they go back. */
-        slots_close(e, p);
+        slots_close_place(e, p);
     }
 }
 
@@ -218,9 +218,9 @@
 }
 
 uint32_t
-lends_grant(struct entry *e, struct service_state *s, struct name to,
-            uint64_t request, struct resources need, uint32_t count,
-            bool answer)
+lend_grant(struct entry *e, struct service_state *s, struct name to,
+           uint64_t request, struct resources need, uint32_t count,
+           bool answer)
 {
     struct msg m = {.kind = MSG_SLOT_GRANT};
     struct rec_slot_grant *sg = &m.u.slot_grant;
@@ -255,8 +255,8 @@
 static void
 end_lent(struct entry *e, struct lent *l)
 {
-    (void)map_remove(&e->dispatch->lends->lent_by_grant, &l->grant);
-    table_remove(&e->dispatch->lends->lents, l->self);
+    (void)map_remove(&e->dispatch->lending->lent_by_grant, &l->grant);
+    table_remove(&e->dispatch->lending->lents, l->self);
 }
 
 /* What a borrower that died, or went silent, had started may still run.  Its
@@ -265,11 +265,11 @@
 static void
 lent_is_foreign(struct entry *e, struct lent *l)
 {
-    struct upstream *u = upstreams_of(e, l->upstream);
+    struct upstream *u = upstreams_get(e, l->upstream);
 
     if (u != NULL) {
         uncount_lent(u, l, l->slots);
-        u->foreign += l->slots;
+        u->foreign_busy += l->slots;
         dispatch_upstream_changed(e, u);
     }
     end_lent(e, l);
@@ -280,30 +280,30 @@
               const struct rec_slot_back *b)
 {
     if (b->done > 0) {
-        health_ok(e, u, 0);
+        health_task_succeeded(e, u, 0);
     }
     if (b->failed > 0) {
-        health_failed(e, u, (uint32_t)b->failed);
+        health_task_failed(e, u, (uint32_t)b->failed);
     }
 }
 
 static void
 on_back(struct entry *e, struct name from, const struct rec_slot_back *b)
 {
-    struct lent *l = map_get(&e->dispatch->lends->lent_by_grant, &b->grant);
+    struct lent *l = map_get(&e->dispatch->lending->lent_by_grant, &b->grant);
     struct upstream *u;
     uint32_t slots;
 
     if (l == NULL || !name_equal(l->borrower, from)) {
         return;
     }
-    u = upstreams_of(e, l->upstream);
+    u = upstreams_get(e, l->upstream);
     slots = b->slots < l->slots ? (uint32_t)b->slots : l->slots;
     if (u != NULL) {
         uncount_lent(u, l, slots);
         report_health(e, u, b);
         if (b->done == 0 && b->failed == 0) {
-            borrow_unwanted(e, u->service, from);
+            borrow_drop_request(e, u->service, from);
         }
         dispatch_upstream_changed(e, u);
     }
@@ -314,8 +314,8 @@
 }
 
 void
-lends_on_request(struct entry *e, struct name from,
-                 const struct rec_slot_request *r)
+lend_on_request(struct entry *e, struct name from,
+                const struct rec_slot_request *r)
 {
     struct service_state *s = dispatch_ensure_service(e, r->service);
     struct resources need = {(uint32_t)r->cpu_milli, (uint32_t)r->memory_mb,
@@ -325,14 +325,14 @@
     uint32_t given = 0;
 
     if (count > 0) {
-        given = lends_grant(e, s, from, r->request, need, count, r->wait == 0);
+        given = lend_grant(e, s, from, r->request, need, count, r->wait == 0);
     }
-    borrow_wait(e, s, from, r, count - given);
+    borrow_queue_request(e, s, from, r, count - given);
 }
 
 void
-lends_on_return(struct entry *e, struct name from,
-                const struct rec_slot_return *r)
+lend_on_return(struct entry *e, struct name from,
+               const struct rec_slot_return *r)
 {
     for (size_t i = 0; i < r->n_backs; i++) {
         on_back(e, from, &r->backs[i]);
@@ -342,15 +342,15 @@
 /* Ends of holds, members and leases */
 
 void
-lends_void(struct entry *e, struct handle upstream)
+lend_void_upstream(struct entry *e, struct handle upstream)
 {
     struct handle h;
     struct lent *l;
     uint32_t at = 0;
 
-    while ((l = table_next(&e->dispatch->lends->lents, &at, &h)) != NULL) {
+    while ((l = table_next(&e->dispatch->lending->lents, &at, &h)) != NULL) {
         if (handle_equal(l->upstream, upstream)) {
-            struct upstream *u = upstreams_of(e, upstream);
+            struct upstream *u = upstreams_get(e, upstream);
 
             if (u != NULL) {
                 uncount_lent(u, l, l->slots);
@@ -361,13 +361,13 @@
 }
 
 void
-lends_member_down(struct entry *e, struct name member)
+lend_member_down(struct entry *e, struct name member)
 {
     struct handle h;
     struct lent *l;
     uint32_t at = 0;
 
-    while ((l = table_next(&e->dispatch->lends->lents, &at, &h)) != NULL) {
+    while ((l = table_next(&e->dispatch->lending->lents, &at, &h)) != NULL) {
         if (name_equal(l->borrower, member)) {
             lent_is_foreign(e, l);
         }
@@ -375,9 +375,9 @@
 }
 
 void
-lends_tick(struct entry *e)
+lend_tick(struct entry *e)
 {
-    struct lends *ls = e->dispatch->lends;
+    struct lending *ls = e->dispatch->lending;
     struct handle h;
 
     while (timers_pop(&ls->lent_timers, e->now.mono_us, &h)) {
@@ -390,7 +390,7 @@
 }
 
 int64_t
-lends_next_us(const struct entry *e)
+lend_next_us(const struct entry *e)
 {
-    return timers_next_us(&e->dispatch->lends->lent_timers);
+    return timers_next_us(&e->dispatch->lending->lent_timers);
 }
--- a/src/member.c
+++ b/src/member.c
@@ -102,7 +102,7 @@
 }
 
 struct member *
-members_of(const struct entry *e, struct name name)
+members_by_name(const struct entry *e, struct name name)
 {
     struct member key = {.name = name};
 
@@ -117,7 +117,7 @@
 }
 
 struct member *
-members_at(const struct entry *e, uint16_t index)
+members_by_index(const struct entry *e, uint16_t index)
 {
     return &e->members->items[index];
 }
@@ -160,7 +160,7 @@
 }
 
 void
-members_send_zone(struct entry *e, struct msg *m)
+members_send_to_zone(struct entry *e, struct msg *m)
 {
     size_t at = 0;
     struct member *to;
@@ -176,8 +176,8 @@
 }
 
 void
-members_renewed(struct entry *e, struct name upstream, uint64_t incarnation,
-                uint32_t busy)
+members_add_renewal(struct entry *e, struct name upstream,
+                    uint64_t incarnation, uint32_t busy)
 {
     struct members *m = e->members;
     struct rec_upstream_ref *ref = NULL;
@@ -258,7 +258,7 @@
         }
         copy = msg_copy(name_equal(to->zone, e->zone) ? &near : &far);
         entry_send(e, to->name, &copy);
-        moved_send(e, to->name);
+        successors_send(e, to->name);
     }
     msg_free(&near);
     msg_free(&far);
@@ -285,11 +285,11 @@
     entry_log(e, LOG_INFO, REASON_MEMBER_UP, NULL, -1, m->name,
               "incarnation %llu", (unsigned long long)m->incarnation);
     claims_member_up(e, m->name);
-    upstreams_members_changed(e);
+    upstreams_on_members_changed(e);
 }
 
 bool
-members_met(struct entry *e, struct member *m, uint64_t incarnation)
+members_mark_seen(struct entry *e, struct member *m, uint64_t incarnation)
 {
     if (m->self || incarnation < m->incarnation) {
         return false;
@@ -325,17 +325,17 @@
     }
     m->loads = loads;
     m->n_loads = hb->n_loads;
-    m->loads_us = e->now.mono_us;
+    m->loads_received_us = e->now.mono_us;
 }
 
 void
 members_on_heartbeat(struct entry *e, struct name from,
                      const struct rec_heartbeat *hb)
 {
-    struct member *m = members_of(e, from);
+    struct member *m = members_by_name(e, from);
     bool was_stopping;
 
-    if (m == NULL || !members_met(e, m, hb->incarnation)) {
+    if (m == NULL || !members_mark_seen(e, m, hb->incarnation)) {
         e->counters.messages_bad++;
         return;
     }
@@ -346,15 +346,15 @@
         take_loads(e, m, hb);
     }
     if (m->stopping != was_stopping) {
-        upstreams_members_changed(e);
+        upstreams_on_members_changed(e);
     }
     upstreams_on_renewed(e, hb->renewed, hb->n_renewed);
 }
 
 void
-members_on_peer(struct entry *e, struct name peer, bool up)
+members_on_connection(struct entry *e, struct name peer, bool up)
 {
-    struct member *m = members_of(e, peer);
+    struct member *m = members_by_name(e, peer);
     struct msg hb;
 
     if (m == NULL || m->self) {
@@ -372,7 +372,7 @@
     }
     hb = make_heartbeat(e, true, false);
     entry_send(e, peer, &hb);
-    moved_send(e, peer);
+    successors_send(e, peer);
     if (m->up) {
         claims_member_up(e, peer);
     }
@@ -393,7 +393,7 @@
         }
     }
     if (lost) {
-        upstreams_members_changed(e);
+        upstreams_on_members_changed(e);
     }
     if (e->now.mono_us >= e->members->heartbeat_due_us) {
         send_heartbeats(e);
@@ -418,13 +418,13 @@
 }
 
 void
-members_stopping(struct entry *e)
+members_announce_stopping(struct entry *e)
 {
-    struct member *self = members_of(e, e->opts.self);
+    struct member *self = members_by_name(e, e->opts.self);
 
     self->stopping = true;
     send_heartbeats(e);
-    upstreams_members_changed(e);
+    upstreams_on_members_changed(e);
 }
 
 /* Whoever slept cannot tell who died meanwhile.  If everybody's silence were
@@ -433,7 +433,7 @@
  * upstream of its zone.  So each gets a fresh timeout, but the loads of
  * before are void. */
 void
-members_paused(struct entry *e)
+members_after_pause(struct entry *e)
 {
     size_t at = 0;
     struct member *m;
--- a/src/moved.c
+++ b/src/moved.c
@@ -15,15 +15,15 @@
     int64_t until_us; /* monotonic */
 };
 
-struct moved {
+struct successors {
     struct move items[MOVED_MAX];
     size_t n;
 };
 
-struct moved *
-moved_new(void)
+struct successors *
+successors_new(void)
 {
-    struct moved *m = calloc(1, sizeof(*m));
+    struct successors *m = calloc(1, sizeof(*m));
 
     if (m == NULL) {
         abort();
@@ -32,7 +32,7 @@
 }
 
 void
-moved_free(struct moved *m)
+successors_free(struct successors *m)
 {
     free(m);
 }
@@ -40,7 +40,7 @@
 static struct move *
 move_of(const struct entry *e, struct name member, uint64_t incarnation)
 {
-    struct moved *m = e->moved;
+    struct successors *m = e->successors;
 
     for (size_t i = 0; i < m->n; i++) {
         if (m->items[i].incarnation == incarnation &&
@@ -55,7 +55,7 @@
 static struct move *
 move_place(const struct entry *e)
 {
-    struct moved *m = e->moved;
+    struct successors *m = e->successors;
     struct move *first = &m->items[0];
 
     for (size_t i = 0; i < m->n; i++) {
@@ -70,9 +70,9 @@
 }
 
 void
-moved_set(struct entry *e, struct name member, uint64_t incarnation,
-          struct name successor, uint64_t successor_incarnation,
-          int64_t left_us)
+successors_set(struct entry *e, struct name member, uint64_t incarnation,
+               struct name successor, uint64_t successor_incarnation,
+               int64_t left_us)
 {
     struct move *to = move_of(e, member, incarnation);
 
@@ -89,7 +89,8 @@
 /* Each incarnation stops once, so a chain has no rings unless somebody lies;
  * the count keeps even those from hanging the process. */
 bool
-moved_find(const struct entry *e, struct name *at, uint64_t *incarnation)
+successors_follow(const struct entry *e, struct name *at,
+                  uint64_t *incarnation)
 {
     bool found = false;
 
@@ -109,9 +110,9 @@
 /* A heartbeat is taken off each time it is told: otherwise two instances
  * could remind each other for ever. */
 size_t
-moved_tell(const struct entry *e, struct rec_moved **out)
+successors_list(const struct entry *e, struct rec_moved **out)
 {
-    const struct moved *m = e->moved;
+    const struct successors *m = e->successors;
     size_t n = 0;
 
     if (m->n == 0) {
@@ -141,11 +142,11 @@
  * with a field more and would take this one for dead, but they pass over a
  * kind that they do not know. */
 void
-moved_send(struct entry *e, struct name to)
+successors_send(struct entry *e, struct name to)
 {
     struct msg m = {.kind = MSG_MOVES};
 
-    m.u.moves.n_moves = moved_tell(e, &m.u.moves.moves);
+    m.u.moves.n_moves = successors_list(e, &m.u.moves.moves);
     if (m.u.moves.n_moves > 0) {
         entry_send(e, to, &m);
     }
@@ -160,21 +161,22 @@
 {
     int64_t left = e->opts.answer_keep_us;
 
-    if (members_of(e, r->member) == NULL ||
-        members_of(e, r->successor) == NULL ||
+    if (members_by_name(e, r->member) == NULL ||
+        members_by_name(e, r->successor) == NULL ||
         (!name_equal(r->member, from) &&
          move_of(e, r->member, r->incarnation) != NULL)) {
         return;
     }
     left = r->left_us < (uint64_t)left ? (int64_t)r->left_us : left;
-    moved_set(e, r->member, r->incarnation, r->successor,
-              r->successor_incarnation, left);
+    successors_set(e, r->member, r->incarnation, r->successor,
+                   r->successor_incarnation, left);
 }
 
 void
-moved_on_message(struct entry *e, struct name from, const struct rec_moves *m)
+successors_on_message(struct entry *e, struct name from,
+                      const struct rec_moves *m)
 {
-    if (members_of(e, from) == NULL) {
+    if (members_by_name(e, from) == NULL) {
         e->counters.messages_bad++;
         entry_log(e, LOG_WARNING, REASON_BAD_MESSAGE, NULL, -1, from, "moves");
         return;
--- a/src/moved.h
+++ b/src/moved.h
@@ -9,27 +9,30 @@
 
 #include "entry_state.h"
 
-struct moved *moved_new(void);
-void moved_free(struct moved *m);
+struct successors *successors_new(void);
+void successors_free(struct successors *m);
 
-/** moved_set() - the answers of that incarnation of @member are at that
+/** successors_set() - the answers of that incarnation of @member are at that
  * incarnation of @successor, for @left_us at most */
-void moved_set(struct entry *e, struct name member, uint64_t incarnation,
-               struct name successor, uint64_t successor_incarnation,
-               int64_t left_us);
+void successors_set(struct entry *e, struct name member, uint64_t incarnation,
+                    struct name successor, uint64_t successor_incarnation,
+                    int64_t left_us);
 
-/** moved_find() - follows *@at in *@incarnation to the last successor known;
- * false where there is none */
-bool moved_find(const struct entry *e, struct name *at, uint64_t *incarnation);
+/** successors_follow() - follows *@at in *@incarnation to the last successor
+ * known; false where there is none */
+bool successors_follow(const struct entry *e, struct name *at,
+                       uint64_t *incarnation);
 
-/** moved_tell() - what is to be told now, from malloc(); returns how many */
-size_t moved_tell(const struct entry *e, struct rec_moved **out);
+/** successors_list() - what is to be told now, from malloc(); returns how many
+ */
+size_t successors_list(const struct entry *e, struct rec_moved **out);
 
-/** moved_send() - goes with each heartbeat; nothing where nothing moved */
-void moved_send(struct entry *e, struct name to);
+/** successors_send() - goes with each heartbeat; nothing where nothing moved
+ */
+void successors_send(struct entry *e, struct name to);
 
-/** moved_on_message() - MOVES */
-void moved_on_message(struct entry *e, struct name from,
-                      const struct rec_moves *m);
+/** successors_on_message() - MOVES */
+void successors_on_message(struct entry *e, struct name from,
+                           const struct rec_moves *m);
 
 #endif
--- a/src/place.c
+++ b/src/place.c
@@ -32,7 +32,7 @@
     if (u->info.quarantined) {
         return health_may_probe(e, u) ? 1 : 0;
     }
-    return upstreams_free_on(u);
+    return upstreams_free_slots_on(u);
 }
 
 uint32_t
@@ -103,7 +103,7 @@
     uint32_t level = 0;
 
     if (place_is_own(p)) {
-        uint32_t usable = upstreams_usable(u);
+        uint32_t usable = upstreams_usable_slots(u);
 
         if (u->info.quarantined) {
             return 0; /* a probe is due: the next task that may goes there */
@@ -254,7 +254,7 @@
         return false;
     }
     if (place_is_own(p) && p->upstream->info.quarantined) {
-        return health_probe_suits(e, p->upstream, pick->idempotent);
+        return health_probe_allowed(e, p->upstream, pick->idempotent);
     }
     return true;
 }
--- a/src/quota.c
+++ b/src/quota.c
@@ -261,7 +261,7 @@
 }
 
 void
-quotas_config(struct entry *e)
+quotas_reload(struct entry *e)
 {
     struct dispatch *d = e->dispatch;
     struct quotas *qs = d->quotas;
@@ -323,7 +323,7 @@
 }
 
 bool
-quotas_allow(struct entry *e, struct service_state *s)
+quotas_allow_start(struct entry *e, struct service_state *s)
 {
     return allows(e, s->quota) && allows(e, s->team_quota);
 }
@@ -338,7 +338,7 @@
 }
 
 void
-quotas_started(struct entry *e, struct service_state *s)
+quotas_task_started(struct entry *e, struct service_state *s)
 {
     (void)e;
     started(s->quota);
@@ -371,7 +371,7 @@
 }
 
 void
-quotas_ended(struct entry *e, struct service_state *s)
+quotas_task_ended(struct entry *e, struct service_state *s)
 {
     ended(e, s->quota);
     ended(e, s->team_quota);
@@ -387,7 +387,7 @@
 }
 
 uint32_t
-quotas_slots(struct entry *e, const struct service_state *s)
+quotas_max_slots(struct entry *e, const struct service_state *s)
 {
     uint32_t a = slots_of(s->quota);
     uint32_t b = slots_of(s->team_quota);
--- a/src/quota.h
+++ b/src/quota.h
@@ -17,24 +17,25 @@
 struct quotas *quotas_new(void);
 void quotas_free(struct quotas *qs);
 
-/** quotas_config() - limits are read from the configuration again */
-void quotas_config(struct entry *e);
+/** quotas_reload() - limits are read from the configuration again */
+void quotas_reload(struct entry *e);
 
 /** quotas_attach() - finds the limits that concern a service */
 void quotas_attach(struct entry *e, struct service_state *s);
 
-/** quotas_allow() - whether one more task of the service may start now */
-bool quotas_allow(struct entry *e, struct service_state *s);
+/** quotas_allow_start() - whether one more task of the service may start now
+ */
+bool quotas_allow_start(struct entry *e, struct service_state *s);
 
-/** quotas_started() - a task of the service was started */
-void quotas_started(struct entry *e, struct service_state *s);
+/** quotas_task_started() - a task of the service was started */
+void quotas_task_started(struct entry *e, struct service_state *s);
 
-/** quotas_ended() - one that was started ended */
-void quotas_ended(struct entry *e, struct service_state *s);
+/** quotas_task_ended() - one that was started ended */
+void quotas_task_ended(struct entry *e, struct service_state *s);
 
-/** quotas_slots() - tasks of the service that may run here at a time, by
+/** quotas_max_slots() - tasks of the service that may run here at a time, by
  * quota; UINT32_MAX without one */
-uint32_t quotas_slots(struct entry *e, const struct service_state *s);
+uint32_t quotas_max_slots(struct entry *e, const struct service_state *s);
 
 void quotas_tick(struct entry *e);
 int64_t quotas_next_us(const struct entry *e);
--- a/src/slot.c
+++ b/src/slot.c
@@ -58,7 +58,7 @@
 }
 
 struct place *
-slots_place(const struct entry *e, struct handle h)
+slots_get_place(const struct entry *e, struct handle h)
 {
     return table_get(&e->slots->places, h);
 }
@@ -92,7 +92,7 @@
 }
 
 void
-slots_own(struct entry *e, struct service_state *s, struct upstream *u)
+slots_add_own(struct entry *e, struct service_state *s, struct upstream *u)
 {
     struct place *p = new_place(e, u);
 
@@ -171,7 +171,7 @@
 }
 
 void
-slots_close(struct entry *e, struct place *p)
+slots_close_place(struct entry *e, struct place *p)
 {
     p->closed = true;
     if (p->upstream != NULL && p->upstream->place == p) {
@@ -186,7 +186,7 @@
 }
 
 void
-slots_ended(struct entry *e, struct place *p)
+slots_on_start_ended(struct entry *e, struct place *p)
 {
     if (!place_is_own(p) && p->failures >= e->opts.quarantine_after) {
         p->closed = true;
@@ -207,7 +207,7 @@
 }
 
 void
-slots_update(struct entry *e, struct upstream *u)
+slots_update_place(struct entry *e, struct upstream *u)
 {
     if (u->place != NULL) {
         place_update(e, u->place);
@@ -250,7 +250,7 @@
         return INT64_MAX;
     }
     if (p->expires_us <= now) {
-        slots_close(e, p);
+        slots_close_place(e, p);
         return INT64_MAX;
     }
     if (p->slots_used == p->slots) {
@@ -260,7 +260,7 @@
         return idle_end < p->expires_us ? idle_end : p->expires_us;
     }
     if (p->slots_used == 0) {
-        slots_close(e, p);
+        slots_close_place(e, p);
         return INT64_MAX;
     }
     give_back(e, p, p->slots - p->slots_used);
@@ -326,7 +326,7 @@
     for (size_t i = 0; i < m->n_grants; i++) {
         add_grant(e, from, s, &m->grants[i]);
     }
-    borrow_answered(e, s, from, m);
+    borrow_on_grant(e, s, from, m);
     dispatch_mark_dirty(e, s);
 }
 
@@ -355,13 +355,13 @@
 {
     switch (m->kind) {
     case MSG_SLOT_REQUEST:
-        lends_on_request(e, from, &m->u.slot_request);
+        lend_on_request(e, from, &m->u.slot_request);
         break;
     case MSG_SLOT_GRANT:
         on_grant(e, from, &m->u.slot_grant);
         break;
     case MSG_SLOT_RETURN:
-        lends_on_return(e, from, &m->u.slot_return);
+        lend_on_return(e, from, &m->u.slot_return);
         break;
     case MSG_SLOT_RECALL:
         on_recall(e, from, &m->u.slot_recall);
@@ -374,35 +374,35 @@
 /* Ends of leases, holders, members and upstreams */
 
 void
-slots_epoch(struct entry *e, struct upstream *u)
+slots_on_epoch_raised(struct entry *e, struct upstream *u)
 {
     struct handle h;
     struct place *p;
     uint32_t at = 0;
 
     if (!u->held && u->lent > 0) {
-        lends_void(e, u->self);
+        lend_void_upstream(e, u->self);
     }
     while ((p = table_next(&e->slots->places, &at, &h)) != NULL) {
         if (!place_is_own(p) && p->upstream == u && p->epoch < u->info.epoch) {
-            slots_close(e, p);
+            slots_close_place(e, p);
         }
     }
 }
 
 void
-slots_upstream_gone(struct entry *e, struct upstream *u)
+slots_on_upstream_removed(struct entry *e, struct upstream *u)
 {
     struct handle h;
     struct place *p;
     uint32_t at = 0;
 
-    lends_void(e, u->self);
+    lend_void_upstream(e, u->self);
     while ((p = table_next(&e->slots->places, &at, &h)) != NULL) {
         if (p->upstream == u) {
             p->upstream->place = NULL;
             p->upstream = NULL;
-            slots_close(e, p);
+            slots_close_place(e, p);
         }
     }
 }
@@ -415,11 +415,11 @@
     struct place *p;
     uint32_t at = 0;
 
-    lends_member_down(e, member);
+    lend_member_down(e, member);
     while ((p = table_next(&sl->places, &at, &h)) != NULL) {
         if (!place_is_own(p) && name_equal(p->lender, member)) {
             p->slots = 0; /* nobody is there to return them to */
-            slots_close(e, p);
+            slots_close_place(e, p);
         }
     }
     for (size_t i = 0; i < e->dispatch->n_services; i++) {
@@ -432,7 +432,7 @@
 {
     struct slots *sl = e->slots;
 
-    lends_tick(e);
+    lend_tick(e);
     if (sl->idle_us <= e->now.mono_us) {
         look_at_all(e);
     }
@@ -445,7 +445,7 @@
 slots_next_us(const struct entry *e)
 {
     const struct slots *sl = e->slots;
-    int64_t next = lends_next_us(e);
+    int64_t next = lend_next_us(e);
 
     next = sl->idle_us < next ? sl->idle_us : next;
     return sl->flush_us < next ? sl->flush_us : next;
--- a/src/slot.h
+++ b/src/slot.h
@@ -18,29 +18,32 @@
 struct slots *slots_new(const struct entry *e);
 void slots_free(struct slots *sl);
 
-/** slots_place() - the place behind a handle, or NULL */
-struct place *slots_place(const struct entry *e, struct handle h);
+/** slots_get_place() - the place behind a handle, or NULL */
+struct place *slots_get_place(const struct entry *e, struct handle h);
 
-/** slots_own() - makes the place of an upstream that this instance may start
- * tasks on by its own right */
-void slots_own(struct entry *e, struct service_state *s, struct upstream *u);
+/** slots_add_own() - makes the place of an upstream that this instance may
+ * start tasks on by its own right */
+void slots_add_own(struct entry *e, struct service_state *s,
+                   struct upstream *u);
 
-/** slots_ended() - a start ended at a place: slots may be idle, or due back */
-void slots_ended(struct entry *e, struct place *p);
+/** slots_on_start_ended() - a start ended at a place: slots may be idle, or
+ * due back */
+void slots_on_start_ended(struct entry *e, struct place *p);
 
-/** slots_close() - no further starts there; it goes when what runs has ended
+/** slots_close_place() - no further starts there; it goes when what runs has
+ * ended
  */
-void slots_close(struct entry *e, struct place *p);
+void slots_close_place(struct entry *e, struct place *p);
 
-/** slots_epoch() - the upstream's epoch rose: grants under lower ones and
- * what was lent under them are void */
-void slots_epoch(struct entry *e, struct upstream *u);
+/** slots_on_epoch_raised() - the upstream's epoch rose: grants under lower
+ * ones and what was lent under them are void */
+void slots_on_epoch_raised(struct entry *e, struct upstream *u);
 
-/** slots_upstream_gone() - its places end */
-void slots_upstream_gone(struct entry *e, struct upstream *u);
+/** slots_on_upstream_removed() - its places end */
+void slots_on_upstream_removed(struct entry *e, struct upstream *u);
 
-/** slots_update() - the upstream's places are looked at again */
-void slots_update(struct entry *e, struct upstream *u);
+/** slots_update_place() - the upstream's places are looked at again */
+void slots_update_place(struct entry *e, struct upstream *u);
 
 /** slots_member_down() - what it lent is void; what it borrowed is foreign */
 void slots_member_down(struct entry *e, struct name member);
--- a/src/start.c
+++ b/src/start.c
@@ -137,11 +137,11 @@
 static void
 give_slot(struct entry *e, struct start *s)
 {
-    struct upstream *u = upstreams_of(e, s->upstream);
-    struct place *p = slots_place(e, s->place);
+    struct upstream *u = upstreams_get(e, s->upstream);
+    struct place *p = slots_get_place(e, s->place);
 
     s->service->n_running--;
-    quotas_ended(e, s->service);
+    quotas_task_ended(e, s->service);
     if (u != NULL) {
         u->running--;
         if (s->own) {
@@ -155,7 +155,7 @@
         p->slots_used--;
         p->last_used_us = e->now.mono_us;
         place_update(e, p);
-        slots_ended(e, p);
+        slots_on_start_ended(e, p);
     }
     dispatch_mark_dirty(e, s->service);
 }
@@ -245,7 +245,7 @@
 }
 
 void
-starts_forget(struct entry *e, struct handle start)
+starts_detach_job(struct entry *e, struct handle start)
 {
     struct start *s = table_get(&starts_of(e)->table, start);
 
@@ -332,8 +332,8 @@
 static void
 note_ok(struct entry *e, struct start *s, int64_t ran_us)
 {
-    struct upstream *u = upstreams_of(e, s->upstream);
-    struct place *p = slots_place(e, s->place);
+    struct upstream *u = upstreams_get(e, s->upstream);
+    struct place *p = slots_get_place(e, s->place);
     double expected = (double)(s->expected_us > 0 ? s->expected_us : 1);
 
     if (ran_us <= 0) {
@@ -345,7 +345,7 @@
         p->unreported_successes++;
     }
     if (u != NULL) {
-        health_ok(e, u, (double)ran_us / expected);
+        health_task_succeeded(e, u, (double)ran_us / expected);
     }
     estimate_add_run(&s->service->run_estimate, s->declared_us, ran_us);
 }
@@ -353,14 +353,14 @@
 static void
 note_failed(struct entry *e, struct start *s)
 {
-    struct upstream *u = upstreams_of(e, s->upstream);
-    struct place *p = slots_place(e, s->place);
+    struct upstream *u = upstreams_get(e, s->upstream);
+    struct place *p = slots_get_place(e, s->place);
 
     if (p != NULL) {
         p->failures++;
     }
     if (u != NULL) {
-        health_failed(e, u, 1);
+        health_task_failed(e, u, 1);
     }
 }
 
@@ -371,7 +371,7 @@
 static void
 note_refused(struct entry *e, struct start *s)
 {
-    struct place *p = slots_place(e, s->place);
+    struct place *p = slots_get_place(e, s->place);
 
     if (p == NULL || p->blocked_until_us > e->now.mono_us) {
         return;
@@ -383,14 +383,14 @@
 static void
 note_stale(struct entry *e, struct start *s)
 {
-    struct upstream *u = upstreams_of(e, s->upstream);
-    struct place *p = slots_place(e, s->place);
+    struct upstream *u = upstreams_get(e, s->upstream);
+    struct place *p = slots_get_place(e, s->place);
 
     if (p != NULL && !place_is_own(p)) {
-        slots_close(e, p);
+        slots_close_place(e, p);
     }
     else if (u != NULL && u->held && u->info.epoch == s->epoch) {
-        holders_stale(e, u);
+        holders_on_stale_epoch(e, u);
     }
 }
 
@@ -540,7 +540,7 @@
 }
 
 void
-starts_upstream_gone(struct entry *e, struct upstream *u)
+starts_on_upstream_removed(struct entry *e, struct upstream *u)
 {
     struct starts *ss = starts_of(e);
     struct handle h;
--- a/src/start.h
+++ b/src/start.h
@@ -19,15 +19,16 @@
 void starts_send(struct entry *e, struct job *job, uint32_t index,
                  struct place *p);
 
-/** starts_forget() - the job is over: how its start ends no longer matters to
- * it, but the slot stays used until the end is known */
-void starts_forget(struct entry *e, struct handle start);
+/** starts_detach_job() - the job is over: how its start ends no longer matters
+ * to it, but the slot stays used until the end is known */
+void starts_detach_job(struct entry *e, struct handle start);
 
 void starts_on_ended(struct entry *e, const struct ev_ended *ev);
 void starts_on_revoked(struct entry *e, const struct ev_revoked *ev);
 
-/** starts_upstream_gone() - asks for everything that was started there */
-void starts_upstream_gone(struct entry *e, struct upstream *u);
+/** starts_on_upstream_removed() - asks for everything that was started there
+ */
+void starts_on_upstream_removed(struct entry *e, struct upstream *u);
 
 void starts_tick(struct entry *e);
 int64_t starts_next_us(const struct entry *e);
--- a/src/upstream.c
+++ b/src/upstream.c
@@ -63,7 +63,7 @@
 }
 
 struct upstream *
-upstreams_of(const struct entry *e, struct handle h)
+upstreams_get(const struct entry *e, struct handle h)
 {
     return table_get(&e->upstreams->table, h);
 }
@@ -101,7 +101,7 @@
 /* News to the zone */
 
 void
-upstreams_tell(struct entry *e, const struct upstream *u)
+upstreams_notify_zone(struct entry *e, const struct upstream *u)
 {
     struct msg m = {.kind = MSG_UPSTREAM_NEWS};
     struct rec_upstream_news *news = &m.u.upstream_news;
@@ -112,7 +112,7 @@
     }
     news->upstreams[0] = u->info;
     news->n_upstreams = 1;
-    members_send_zone(e, &m);
+    members_send_to_zone(e, &m);
 }
 
 /* Coming and going */
@@ -127,7 +127,7 @@
     u->name = info->upstream;
     u->self = h;
     u->info = *info;
-    u->heard_us = e->now.mono_us;
+    u->renewed_us = e->now.mono_us;
     u->health = health_new();
     map_put(&us->by_name, u);
     entry_log(e, LOG_INFO, REASON_ANNOUNCED, NULL, -1, u->name,
@@ -144,7 +144,7 @@
     struct handle h = u->self;
     struct name name = u->name;
 
-    holders_drop(e, u);
+    holders_end_hold(e, u);
     entry_log(e, LOG_NOTICE, reason, NULL, -1, u->name, "incarnation %llu",
               (unsigned long long)u->info.incarnation);
     dispatch_upstream_gone(e, h);
@@ -203,10 +203,10 @@
     uint32_t own = u->running + u->lent;
     uint32_t foreign = busy > own ? (uint32_t)(busy - own) : 0;
 
-    u->heard_us = e->now.mono_us;
+    u->renewed_us = e->now.mono_us;
     u->info.busy = busy;
-    if (foreign < u->foreign) {
-        u->foreign = foreign;
+    if (foreign < u->foreign_busy) {
+        u->foreign_busy = foreign;
         dispatch_upstream_changed(e, u);
     }
 }
@@ -254,7 +254,7 @@
     *changed = true;
     u = add_upstream(e, info);
     u->info.epoch = epoch;
-    upstreams_wake_at(e, u->heard_us + e->opts.upstream_ttl_us);
+    upstreams_wake_at(e, u->renewed_us + e->opts.upstream_ttl_us);
     dispatch_upstream_changed(e, u);
     return u;
 }
@@ -302,13 +302,13 @@
         return;
     }
     if (changed) {
-        upstreams_tell(e, u);
+        upstreams_notify_zone(e, u);
     }
     else {
-        members_renewed(e, u->name, u->info.incarnation,
-                        (uint32_t)u->info.busy);
+        members_add_renewal(e, u->name, u->info.incarnation,
+                            (uint32_t)u->info.busy);
     }
-    holders_pick(e, u);
+    holders_try_fence(e, u);
     tell_announced(e, ev->request, u);
 }
 
@@ -322,7 +322,7 @@
     entry_log(e, LOG_INFO, REASON_LEAVING, NULL, -1, u->name,
               "no new work; %u running from here", u->running);
     dispatch_upstream_changed(e, u);
-    upstreams_tell(e, u);
+    upstreams_notify_zone(e, u);
 }
 
 void
@@ -374,9 +374,9 @@
         }
         u = meet(e, info, &changed);
         if (u != NULL) {
-            holders_learn(e, u, info);
-            health_heard(e, u, info->quarantined != 0);
-            holders_pick(e, u);
+            holders_merge_info(e, u, info);
+            health_on_report(e, u, info->quarantined != 0);
+            holders_try_fence(e, u);
         }
     }
 }
@@ -413,7 +413,7 @@
 static bool
 ours_to_tell(const struct entry *e, const struct upstream *u)
 {
-    const struct member *holder = members_of(e, u->info.holder);
+    const struct member *holder = members_by_name(e, u->info.holder);
 
     return u->held || holder == NULL || !holder->up;
 }
@@ -470,14 +470,14 @@
 }
 
 void
-upstreams_members_changed(struct entry *e)
+upstreams_on_members_changed(struct entry *e)
 {
     struct upstream *u;
     uint32_t at = 0;
 
     tell_new_members(e);
     while ((u = upstreams_next(e, &at)) != NULL) {
-        holders_pick(e, u);
+        holders_try_fence(e, u);
     }
 }
 
@@ -494,19 +494,19 @@
     }
     e->upstreams->next_us = INT64_MAX;
     while ((u = upstreams_next(e, &at)) != NULL) {
-        int64_t ends_us = u->heard_us + e->opts.upstream_ttl_us;
+        int64_t ends_us = u->renewed_us + e->opts.upstream_ttl_us;
 
         if (ends_us <= e->now.mono_us) {
             remove_upstream(e, u, REASON_EXPIRED);
             continue;
         }
         upstreams_wake_at(e, ends_us);
-        holders_pick(e, u);
+        holders_try_fence(e, u);
     }
 }
 
 uint32_t
-upstreams_usable(const struct upstream *u)
+upstreams_usable_slots(const struct upstream *u)
 {
     uint64_t connections = u->info.connections;
 
@@ -519,16 +519,16 @@
 }
 
 uint32_t
-upstreams_free_on(const struct upstream *u)
+upstreams_free_slots_on(const struct upstream *u)
 {
-    uint32_t usable = upstreams_usable(u);
-    uint32_t taken = u->foreign + u->running + u->lent;
+    uint32_t usable = upstreams_usable_slots(u);
+    uint32_t taken = u->foreign_busy + u->running + u->lent;
 
     return taken < usable ? usable - taken : 0;
 }
 
 uint32_t
-upstreams_free_slots(const struct entry *e, struct name service)
+upstreams_service_free_slots(const struct entry *e, struct name service)
 {
     const struct upstream *u;
     uint32_t free_slots = 0;
@@ -537,7 +537,7 @@
     while ((u = upstreams_next(e, &at)) != NULL) {
         if (u->held && !u->info.leaving &&
             name_equal(u->info.service, service)) {
-            free_slots += upstreams_free_on(u);
+            free_slots += upstreams_free_slots_on(u);
         }
     }
     return free_slots;
--- a/src/vcontrol.c
+++ b/src/vcontrol.c
@@ -17,7 +17,7 @@
 /* ---- the founding state ---- */
 
 static struct rec_membership
-members_of(struct vnet *n, struct rec_control_member *members)
+members_by_name(struct vnet *n, struct rec_control_member *members)
 {
     for (uint32_t i = 0; i < VCONTROLS; i++) {
         members[i] = (struct rec_control_member){
@@ -34,7 +34,7 @@
 founding_state(struct vnet *n)
 {
     struct rec_control_member members[VCONTROLS];
-    struct rec_membership m = members_of(n, members);
+    struct rec_membership m = members_by_name(n, members);
     struct blob *text = voperator_text(n);
     struct delta d = delta_make(NULL, text);
     struct blob *none = blob_new("", 0);
--- a/src/vote.c
+++ b/src/vote.c
@@ -144,7 +144,7 @@
             struct rec_claim_reply *reply)
 {
     reply->verdict = CLAIM_TAKEN;
-    reply->claimer = members_at(e, r->claimer_index)->name;
+    reply->claimer = members_by_index(e, r->claimer_index)->name;
     reply->claimer_incarnation = r->incarnation;
     reply->digest = r->digest;
     reply->purpose = r->purpose;
@@ -161,7 +161,7 @@
     }
     memset(out, 0, sizeof(*out));
     out->outcome = CLAIM_OUTCOME_TAKEN;
-    out->claimer = members_at(e, r->claimer_index)->name;
+    out->claimer = members_by_index(e, r->claimer_index)->name;
     out->incarnation = r->incarnation;
     out->digest = r->digest;
     out->purpose = (enum claim_purpose)r->purpose;
@@ -260,7 +260,7 @@
     for (size_t i = 0; i < v->n_peers; i++) {
         reply->views[i].voter = v->peers[i].name;
         reply->views[i].incarnation =
-            members_of(e, v->peers[i].name)->incarnation;
+            members_by_name(e, v->peers[i].name)->incarnation;
     }
     reply->n_views = v->n_peers;
 }
@@ -270,7 +270,7 @@
            struct rec_claim_reply *reply)
 {
     const struct voting *v = vote_zone_voter(e, m->zone);
-    struct member *claimer = members_of(e, from);
+    struct member *claimer = members_by_name(e, from);
 
     if (v == NULL || claimer == NULL || m->purpose > CLAIM_CANCEL ||
         m->incarnation < claimer->incarnation || m->issued_us > INT64_MAX) {
@@ -307,7 +307,7 @@
 vote_release(struct entry *e, struct name from,
              const struct rec_claim_release *m)
 {
-    struct member *claimer = members_of(e, from);
+    struct member *claimer = members_by_name(e, from);
     struct claim *r = vote_find_record(e, m->key);
 
     if (claimer == NULL || vote_zone_voter(e, m->zone) == NULL) {
--- a/tests/claim_test.c
+++ b/tests/claim_test.c
@@ -20,17 +20,17 @@
 /* Which claim messages the network swallows now. */
 static bool cut[ENET_NODES_MAX][ENET_NODES_MAX];
 
-static enum enet_fate
+static enum enet_delivery
 claims_cut(struct enet *n, int from, int to, const struct msg *m)
 {
     (void)n;
-    return m->kind == MSG_CLAIM && cut[from][to] ? ENET_DROP : ENET_PASS;
+    return m->kind == MSG_CLAIM && cut[from][to] ? ENET_DROP : ENET_DELIVER;
 }
 
 /* Besides, whatever the first voter says to NODE_C gets lost. */
 static bool deaf;
 
-static enum enet_fate
+static enum enet_delivery
 claims_cut_and_deaf(struct enet *n, int from, int to, const struct msg *m)
 {
     if (deaf && from == 0 && to == NODE_C) {
@@ -39,12 +39,12 @@
     return claims_cut(n, from, to, m);
 }
 
-static enum enet_fate
+static enum enet_delivery
 all_cut(struct enet *n, int from, int to, const struct msg *m)
 {
     (void)n;
     (void)m;
-    return cut[from][to] ? ENET_DROP : ENET_PASS;
+    return cut[from][to] ? ENET_DROP : ENET_DELIVER;
 }
 
 static void
@@ -69,7 +69,7 @@
                              .seed = 7,
                              .new_region = true,
                              .run_us = 100 * MSEC,
-                             .fate = claims_cut};
+                             .filter = claims_cut};
 
     cut_none();
     return enet_new(&o);
@@ -83,12 +83,12 @@
     uint64_t c;
     uint64_t d;
 
-    enet_key(n, "z0", 1, 0, key);
+    enet_mint_key(n, "z0", 1, 0, key);
     cut_all_but(NODE_C, 0);
     c = enet_submit(n, NODE_C, key, 3, 11);
     enet_run(n, 70 * MSEC);
     CU_ASSERT_EQUAL(claims_count(n->nodes[0].e), 1);
-    n->opts.fate = claims_cut_and_deaf;
+    n->opts.filter = claims_cut_and_deaf;
     deaf = then_deaf;
     enet_restart(n, 0);
     enet_run(n, 10 * MSEC);
@@ -97,14 +97,14 @@
     cut[NODE_D][1] = true;
     d = enet_submit(n, NODE_D, key, 3, 11);
     enet_run(n, 60 * MSEC);
-    CU_ASSERT_EQUAL(enet_starts(n, key, ENET_WHOLE), 3);
+    CU_ASSERT_EQUAL(enet_count_starts(n, key, ENET_ALL_TASKS), 3);
     cut[NODE_C][1] = false;
     enet_run(n, 100 * MSEC);
     deaf = false;
     enet_run(n, SEC);
-    CU_ASSERT_EQUAL(enet_starts(n, key, ENET_WHOLE), 3);
-    CU_ASSERT_TRUE(enet_ended(n, c, JOB_COMPLETE, REASON_COMPLETED));
-    CU_ASSERT_TRUE(enet_ended(n, d, JOB_COMPLETE, REASON_COMPLETED));
+    CU_ASSERT_EQUAL(enet_count_starts(n, key, ENET_ALL_TASKS), 3);
+    CU_ASSERT_TRUE(enet_answered_with(n, c, JOB_COMPLETE, REASON_COMPLETED));
+    CU_ASSERT_TRUE(enet_answered_with(n, d, JOB_COMPLETE, REASON_COMPLETED));
     enet_free(n);
 }
 
@@ -137,7 +137,7 @@
     char key[KEY_TEXT_SIZE];
     uint64_t again;
 
-    enet_key(n, "z0", 1, 0, key);
+    enet_mint_key(n, "z0", 1, 0, key);
     (void)enet_submit(n, NODE_C, key, 2, 11);
     enet_run(n, 50 * MSEC);
     enet_restart(n, 0);
@@ -145,8 +145,9 @@
     CU_ASSERT_EQUAL(claims_count(n->nodes[0].e), 1);
     again = enet_submit(n, 0, key, 2, 11);
     enet_run(n, SEC);
-    CU_ASSERT_TRUE(enet_ended(n, again, JOB_COMPLETE, REASON_COMPLETED));
-    CU_ASSERT_EQUAL(enet_starts(n, key, ENET_WHOLE), 2);
+    CU_ASSERT_TRUE(
+        enet_answered_with(n, again, JOB_COMPLETE, REASON_COMPLETED));
+    CU_ASSERT_EQUAL(enet_count_starts(n, key, ENET_ALL_TASKS), 2);
     enet_free(n);
 }
 
@@ -163,7 +164,7 @@
     uint64_t bare;
     uint64_t fresh;
 
-    enet_key(n, "z0", 1, 0, key);
+    enet_mint_key(n, "z0", 1, 0, key);
     (void)enet_submit(n, NODE_C, key, 2, 11);
     enet_run(n, 50 * MSEC);
     enet_restart(n, 0);
@@ -172,15 +173,18 @@
     CU_ASSERT_FALSE(claims_voter_ready(n->nodes[0].e, name_of("z0")));
     again = enet_submit(n, NODE_D, key, 2, 11);
     bare = enet_submit(n, NODE_D, "bare-of-z0-2", 1, 12);
-    enet_key(n, "z0", 2, 0, other);
+    enet_mint_key(n, "z0", 2, 0, other);
     fresh = enet_submit(n, NODE_D, other, 1, 13);
     enet_run(n, SEC);
-    CU_ASSERT_EQUAL(enet_starts(n, key, ENET_WHOLE), 2);
-    CU_ASSERT_TRUE(enet_ended(n, again, JOB_COMPLETE, REASON_COMPLETED) ||
-                   enet_problem(n, again, PROBLEM_NO_CLAIM));
-    CU_ASSERT_TRUE(enet_ended(n, bare, JOB_COMPLETE, REASON_COMPLETED) ||
-                   enet_problem(n, bare, PROBLEM_NO_CLAIM));
-    CU_ASSERT_TRUE(enet_ended(n, fresh, JOB_COMPLETE, REASON_COMPLETED));
+    CU_ASSERT_EQUAL(enet_count_starts(n, key, ENET_ALL_TASKS), 2);
+    CU_ASSERT_TRUE(
+        enet_answered_with(n, again, JOB_COMPLETE, REASON_COMPLETED) ||
+        enet_refused_with(n, again, PROBLEM_NO_CLAIM));
+    CU_ASSERT_TRUE(
+        enet_answered_with(n, bare, JOB_COMPLETE, REASON_COMPLETED) ||
+        enet_refused_with(n, bare, PROBLEM_NO_CLAIM));
+    CU_ASSERT_TRUE(
+        enet_answered_with(n, fresh, JOB_COMPLETE, REASON_COMPLETED));
     enet_run(n, 615 * SEC);
     CU_ASSERT_TRUE(claims_voter_ready(n->nodes[0].e, name_of("z0")));
     enet_free(n);
@@ -198,15 +202,15 @@
         char key[KEY_TEXT_SIZE];
         uint64_t requests[VOTERS];
 
-        enet_key(n, "z0", i, 0, key);
+        enet_mint_key(n, "z0", i, 0, key);
         for (int j = 0; j < VOTERS; j++) {
             requests[j] = enet_submit(n, j, key, 2, 11);
         }
         enet_run(n, SEC);
-        CU_ASSERT_EQUAL(enet_starts(n, key, ENET_WHOLE), 2);
+        CU_ASSERT_EQUAL(enet_count_starts(n, key, ENET_ALL_TASKS), 2);
         for (int j = 0; j < VOTERS; j++) {
-            CU_ASSERT_TRUE(
-                enet_ended(n, requests[j], JOB_COMPLETE, REASON_COMPLETED));
+            CU_ASSERT_TRUE(enet_answered_with(n, requests[j], JOB_COMPLETE,
+                                              REASON_COMPLETED));
         }
     }
     enet_free(n);
@@ -226,13 +230,15 @@
         uint64_t a;
         uint64_t b;
 
-        enet_key(n, "z0", i, 0, key);
+        enet_mint_key(n, "z0", i, 0, key);
         a = enet_submit(n, 0, key, 2, 11);
         b = enet_submit(n, 1, key, 2, 11);
         enet_run(n, SEC);
-        CU_ASSERT_EQUAL(enet_starts(n, key, ENET_WHOLE), 2);
-        CU_ASSERT_TRUE(enet_ended(n, a, JOB_COMPLETE, REASON_COMPLETED));
-        CU_ASSERT_TRUE(enet_ended(n, b, JOB_COMPLETE, REASON_COMPLETED));
+        CU_ASSERT_EQUAL(enet_count_starts(n, key, ENET_ALL_TASKS), 2);
+        CU_ASSERT_TRUE(
+            enet_answered_with(n, a, JOB_COMPLETE, REASON_COMPLETED));
+        CU_ASSERT_TRUE(
+            enet_answered_with(n, b, JOB_COMPLETE, REASON_COMPLETED));
     }
     enet_free(n);
 }
@@ -248,7 +254,7 @@
     uint64_t with_two;
     uint64_t with_one;
 
-    n->opts.fate = all_cut;
+    n->opts.filter = all_cut;
     for (int i = 0; i < n->n_nodes; i++) {
         for (int j = 0; j < n->n_nodes; j++) {
             cut[i][j] = i / VOTERS != j / VOTERS;
@@ -256,16 +262,17 @@
     }
     enet_kill(n, 2);
     enet_run(n, 3 * SEC);
-    enet_key(n, "z0", 1, 0, key);
+    enet_mint_key(n, "z0", 1, 0, key);
     with_two = enet_submit(n, 0, key, 2, 11);
     enet_run(n, SEC);
-    CU_ASSERT_TRUE(enet_ended(n, with_two, JOB_COMPLETE, REASON_COMPLETED));
+    CU_ASSERT_TRUE(
+        enet_answered_with(n, with_two, JOB_COMPLETE, REASON_COMPLETED));
     enet_kill(n, 1);
     enet_run(n, 3 * SEC);
-    enet_key(n, "z0", 2, 0, key);
+    enet_mint_key(n, "z0", 2, 0, key);
     with_one = enet_submit(n, 0, key, 2, 11);
     enet_run(n, SEC);
-    CU_ASSERT_TRUE(enet_problem(n, with_one, PROBLEM_NO_CLAIM));
+    CU_ASSERT_TRUE(enet_refused_with(n, with_one, PROBLEM_NO_CLAIM));
     CU_ASSERT_TRUE(enet_answer(n, with_one)->problem.request_started_nothing);
     CU_ASSERT_TRUE(enet_answer(n, with_one)->problem.retry_after_us > 0);
     enet_free(n);
@@ -281,16 +288,17 @@
     uint64_t first;
     uint64_t second;
 
-    enet_key(n, "z0", 1, 0, key);
+    enet_mint_key(n, "z0", 1, 0, key);
     cut_all_but(NODE_C, 0);
     first = enet_submit(n, NODE_C, key, 2, 11);
     enet_run(n, SEC);
-    CU_ASSERT_TRUE(enet_problem(n, first, PROBLEM_NO_CLAIM));
+    CU_ASSERT_TRUE(enet_refused_with(n, first, PROBLEM_NO_CLAIM));
     CU_ASSERT_EQUAL(claims_count(n->nodes[0].e), 0);
     cut_none();
     second = enet_submit(n, NODE_D, key, 2, 11);
     enet_run(n, SEC);
-    CU_ASSERT_TRUE(enet_ended(n, second, JOB_COMPLETE, REASON_COMPLETED));
+    CU_ASSERT_TRUE(
+        enet_answered_with(n, second, JOB_COMPLETE, REASON_COMPLETED));
     enet_free(n);
 }
 
@@ -308,7 +316,7 @@
     late.u.claim.digest = 11;
     late.u.claim.attempt = 4711;
     late.u.claim.incarnation = 1;
-    enet_send(n, n->nodes[NODE_C].name, 0, &late);
+    enet_inject(n, n->nodes[NODE_C].name, 0, &late);
     CU_ASSERT_EQUAL(claims_count(n->nodes[0].e), 1);
     enet_run(n, 10 * MSEC);
     CU_ASSERT_EQUAL(claims_count(n->nodes[0].e), 0);
@@ -324,14 +332,14 @@
     struct msg old = {.kind = MSG_CLAIM_RELEASE};
     char key[KEY_TEXT_SIZE];
 
-    enet_key(n, "z0", 1, 0, key);
+    enet_mint_key(n, "z0", 1, 0, key);
     (void)enet_submit(n, 0, key, 2, 11);
     enet_run(n, 50 * MSEC);
     CU_ASSERT_EQUAL(claims_count(n->nodes[0].e), 1);
     old.u.claim_release.key = key_id_of(key);
     old.u.claim_release.zone = name_of("z0");
     old.u.claim_release.incarnation = 1;
-    enet_send(n, n->nodes[0].name, 0, &old);
+    enet_inject(n, n->nodes[0].name, 0, &old);
     CU_ASSERT_EQUAL(claims_count(n->nodes[0].e), 1);
     enet_free(n);
 }
@@ -346,15 +354,15 @@
     char key[KEY_TEXT_SIZE];
     size_t votes = 0;
 
-    n->opts.doubled = 100;
-    enet_key(n, "z0", 1, 0, key);
+    n->opts.duplicated_percent = 100;
+    enet_mint_key(n, "z0", 1, 0, key);
     (void)enet_submit(n, NODE_C, key, 2, 11);
     enet_run(n, SEC);
     for (int i = 0; i < VOTERS; i++) {
         votes += claims_count(n->nodes[i].e);
     }
     CU_ASSERT_TRUE(votes >= 2);
-    CU_ASSERT_EQUAL(enet_starts(n, key, ENET_WHOLE), 2);
+    CU_ASSERT_EQUAL(enet_count_starts(n, key, ENET_ALL_TASKS), 2);
     enet_free(n);
 }
 
@@ -366,7 +374,7 @@
     for (;;) {
         int i = (int)enet_random(n, (uint64_t)n->n_nodes);
 
-        if (n->nodes[i].e != NULL && !n->nodes[i].frozen) {
+        if (n->nodes[i].e != NULL && !n->nodes[i].is_paused) {
             return i;
         }
     }
@@ -378,9 +386,9 @@
 {
     int node = random_claimer(n);
 
-    enet_freeze(n, node, true);
+    enet_pause(n, node, true);
     enet_run(n, (int64_t)enet_random(n, 4000) * MSEC);
-    enet_freeze(n, node, false);
+    enet_pause(n, node, false);
 }
 
 /* Zones and instances in each: a zone of two borrows its third voter. */
@@ -424,27 +432,28 @@
                              .seed = seed,
                              .new_region = true,
                              .run_us = 20 * MSEC,
-                             .lost = 5,
-                             .doubled = 5,
-                             .late = 10};
+                             .lost_percent = 5,
+                             .duplicated_percent = 5,
+                             .delayed_percent = 10};
     struct enet *n = enet_new(&o);
     char keys[KEYS][KEY_TEXT_SIZE];
 
     for (int i = 0; i < KEYS; i++) {
-        enet_key(n, "z0", i, i % 2 == 0 ? 0 : 60 * SEC, keys[i]);
+        enet_mint_key(n, "z0", i, i % 2 == 0 ? 0 : 60 * SEC, keys[i]);
     }
     for (int i = 0; i < 60; i++) {
         random_event(n, keys);
         enet_run(n, (int64_t)enet_random(n, 20) * MSEC);
     }
     enet_run(n, 8 * SEC);
-    if (enet_started_twice(n) + enet_doubled_answers(n) + enet_unanswered(n) !=
+    if (enet_count_repeated_starts(n) + enet_count_repeated_answers(n) +
+            enet_count_unanswered(n) !=
         0) {
         printf("seed %llu\n", (unsigned long long)seed);
     }
-    CU_ASSERT_EQUAL(enet_started_twice(n), 0);
-    CU_ASSERT_EQUAL(enet_doubled_answers(n), 0);
-    CU_ASSERT_EQUAL(enet_unanswered(n), 0);
+    CU_ASSERT_EQUAL(enet_count_repeated_starts(n), 0);
+    CU_ASSERT_EQUAL(enet_count_repeated_answers(n), 0);
+    CU_ASSERT_EQUAL(enet_count_unanswered(n), 0);
     enet_free(n);
 }
 
--- a/tests/entry_net.c
+++ b/tests/entry_net.c
@@ -82,9 +82,9 @@
     p = &n->packets[n->n_packets++];
     memset(p, 0, sizeof(*p));
     p->at_us = n->now_us + after_us;
-    p->order = n->orders++;
+    p->order = n->next_order++;
     p->to = to;
-    p->life = n->nodes[to].incarnation;
+    p->to_incarnation = n->nodes[to].incarnation;
     return p;
 }
 
@@ -116,52 +116,54 @@
     p->event.u.message.from = n->nodes[from].name;
 }
 
-static enum enet_fate
+static enum enet_delivery
 fate_of(struct enet *n, int from, int to, const struct msg *m)
 {
     int roll = (int)enet_random(n, 100);
 
-    if (n->opts.fate != NULL) {
-        enum enet_fate fate = n->opts.fate(n, from, to, m);
+    if (n->opts.filter != NULL) {
+        enum enet_delivery fate = n->opts.filter(n, from, to, m);
 
-        if (fate != ENET_PASS) {
+        if (fate != ENET_DELIVER) {
             return fate;
         }
     }
-    if (roll < n->opts.lost) {
+    if (roll < n->opts.lost_percent) {
         return ENET_DROP;
     }
-    if (roll < n->opts.lost + n->opts.doubled) {
-        return ENET_DOUBLE;
+    if (roll < n->opts.lost_percent + n->opts.duplicated_percent) {
+        return ENET_DUPLICATE;
     }
-    return roll < n->opts.lost + n->opts.doubled + n->opts.late ? ENET_LATE
-                                                                : ENET_PASS;
+    return roll < n->opts.lost_percent + n->opts.duplicated_percent +
+                       n->opts.delayed_percent
+               ? ENET_DELAY
+               : ENET_DELIVER;
 }
 
 static void
 on_send(struct enet *n, int from, const struct ef_send *f)
 {
     int to = node_of(n, f->to);
-    enum enet_fate fate;
+    enum enet_delivery fate;
 
     if (to < 0) {
-        if (n->opts.outside != NULL) {
-            n->opts.outside(n, from, f->to, &f->msg);
+        if (n->opts.on_unknown_dest != NULL) {
+            n->opts.on_unknown_dest(n, from, f->to, &f->msg);
         }
         return;
     }
     n->messages++;
-    n->by_kind[f->msg.kind]++;
+    n->messages_by_kind[f->msg.kind]++;
     fate = fate_of(n, from, to, &f->msg);
     if (fate == ENET_DROP) {
         return;
     }
-    if (fate == ENET_LATE || fate == ENET_DOUBLE) {
+    if (fate == ENET_DELAY || fate == ENET_DUPLICATE) {
         int64_t late = (int64_t)enet_random(n, LATE_MAX_MSEC) * USEC_PER_MSEC;
 
         send_packet(n, from, to, &f->msg, ENET_DELAY_US + late);
     }
-    if (fate != ENET_LATE) {
+    if (fate != ENET_DELAY) {
         send_packet(n, from, to, &f->msg, ENET_DELAY_US);
     }
 }
@@ -211,7 +213,7 @@
     int i = upstream_of(n, f->upstream);
     struct enet_packet *p;
 
-    if (n->upstreams[i].silent) {
+    if (n->upstreams[i].unresponsive) {
         record_start(n, node, i, f);
         return;
     }
@@ -256,7 +258,7 @@
     struct event ev = {.kind = EV_ANNOUNCE};
     struct rec_upstream_info *info = &ev.u.announce.info;
 
-    u->announce_us = n->now_us + ANNOUNCE_SEC * USEC_PER_SEC;
+    u->next_announce_us = n->now_us + ANNOUNCE_SEC * USEC_PER_SEC;
     info->upstream = u->name;
     info->incarnation = u->incarnation;
     info->zone = u->zone;
@@ -270,9 +272,9 @@
     for (int i = 0; i < n->n_nodes; i++) {
         struct enet_node *node = &n->nodes[i];
 
-        if (node->e != NULL && !node->frozen &&
+        if (node->e != NULL && !node->is_paused &&
             name_equal(node->zone, u->zone)) {
-            ev.u.announce.request = ++n->requests;
+            ev.u.announce.request = ++n->last_request;
             enet_step(n, i, &ev);
             return;
         }
@@ -290,7 +292,7 @@
         if (a->request != request) {
             continue;
         }
-        a->times++;
+        a->answer_count++;
         a->kind = f->kind;
         if (f->kind == EF_PROBLEM) {
             a->problem = f->u.problem;
@@ -374,9 +376,9 @@
     n->answers = must(realloc(n->answers, (n->n_answers + 1) * sizeof(*a)));
     a = &n->answers[n->n_answers++];
     memset(a, 0, sizeof(*a));
-    a->request = ++n->requests;
+    a->request = ++n->last_request;
     a->node = node;
-    a->life = n->nodes[node].incarnation;
+    a->node_incarnation = n->nodes[node].incarnation;
     a->kind = EFFECT_KINDS;
     return a->request;
 }
@@ -456,7 +458,7 @@
 }
 
 void
-enet_send(struct enet *n, struct name from, int to, struct msg *m)
+enet_inject(struct enet *n, struct name from, int to, struct msg *m)
 {
     struct event ev = {.kind = EV_MESSAGE};
 
@@ -467,8 +469,8 @@
 }
 
 void
-enet_key(const struct enet *n, const char *zone, int number, int64_t ago_us,
-         char out[KEY_TEXT_SIZE])
+enet_mint_key(const struct enet *n, const char *zone, int number,
+              int64_t ago_us, char out[KEY_TEXT_SIZE])
 {
     key_mint(name_of(zone), name_of("caller"), 1,
              moment_of(n).wall_us - ago_us, (uint64_t)number, out);
@@ -482,7 +484,7 @@
     for (int i = 0; i < n->n_nodes; i++) {
         struct event ev = {.kind = kind};
 
-        if (i == node || n->nodes[i].e == NULL || n->nodes[i].frozen) {
+        if (i == node || n->nodes[i].e == NULL || n->nodes[i].is_paused) {
             continue;
         }
         ev.u.peer.peer = n->nodes[node].name;
@@ -506,8 +508,8 @@
     o.n_peers = (size_t)n->n_nodes;
     o.new_region = new_region;
     o.seed = n->opts.seed * 1000 + o.incarnation * 10 + (uint64_t)node;
-    if (n->opts.tune != NULL) {
-        n->opts.tune(&o);
+    if (n->opts.adjust_options != NULL) {
+        n->opts.adjust_options(&o);
     }
     n->nodes[node].e = must(entry_new(&o));
     n->nodes[node].stopped = false;
@@ -655,7 +657,7 @@
 
     n->packets[i] = n->packets[--n->n_packets];
     if (to->e != NULL &&
-        (p.event.kind == EV_MESSAGE || p.life == to->incarnation)) {
+        (p.event.kind == EV_MESSAGE || p.to_incarnation == to->incarnation)) {
         if (p.event.kind == EV_MESSAGE) {
             p.event.u.message.msg = &p.msg;
         }
@@ -671,7 +673,7 @@
 
     *node = -1;
     for (int i = 0; i < n->n_nodes; i++) {
-        if (n->nodes[i].e != NULL && !n->nodes[i].frozen) {
+        if (n->nodes[i].e != NULL && !n->nodes[i].is_paused) {
             int64_t at = entry_next_us(n->nodes[i].e);
 
             at = at > n->now_us ? at : n->now_us;
@@ -690,9 +692,9 @@
     for (int i = 0; i < n->n_upstreams; i++) {
         struct enet_upstream *u = &n->upstreams[i];
 
-        if (u->announce_us <= before_us) {
-            n->now_us =
-                u->announce_us > n->now_us ? u->announce_us : n->now_us;
+        if (u->next_announce_us <= before_us) {
+            n->now_us = u->next_announce_us > n->now_us ? u->next_announce_us
+                                                        : n->now_us;
             announce(n, u);
             return true;
         }
@@ -716,9 +718,9 @@
 }
 
 void
-enet_freeze(struct enet *n, int node, bool frozen)
+enet_pause(struct enet *n, int node, bool frozen)
 {
-    n->nodes[node].frozen = frozen;
+    n->nodes[node].is_paused = frozen;
     for (size_t i = 0; !frozen && i < n->n_packets; i++) {
         struct enet_packet *p = &n->packets[i];
 
@@ -746,7 +748,7 @@
             continue;
         }
         n->now_us = at > n->now_us ? at : n->now_us;
-        if (node == -2 && n->nodes[n->packets[first].to].frozen) {
+        if (node == -2 && n->nodes[n->packets[first].to].is_paused) {
             hold_packet(n, first);
         }
         else if (node == -2) {
@@ -772,33 +774,34 @@
 }
 
 bool
-enet_problem(const struct enet *n, uint64_t request, enum problem problem)
+enet_refused_with(const struct enet *n, uint64_t request, enum problem problem)
 {
     const struct enet_answer *a = enet_answer(n, request);
 
     return a->kind == EF_PROBLEM && a->problem.problem == problem &&
-           a->times == 1;
+           a->answer_count == 1;
 }
 
 bool
-enet_ended(const struct enet *n, uint64_t request, enum job_status status,
-           enum reason reason)
+enet_answered_with(const struct enet *n, uint64_t request,
+                   enum job_status status, enum reason reason)
 {
     const struct enet_answer *a = enet_answer(n, request);
 
     return a->kind == EF_ANSWER && a->answer->status == status &&
-           a->answer->reason == reason && a->times == 1;
+           a->answer->reason == reason && a->answer_count == 1;
 }
 
 int
-enet_starts(const struct enet *n, const char *key, int index)
+enet_count_starts(const struct enet *n, const char *key, int index)
 {
     struct key_id id = key_id_of(key);
     int count = 0;
 
     for (size_t i = 0; i < n->n_starts; i++) {
         if (key_id_equal(n->starts[i].key, id) &&
-            (index == ENET_WHOLE || n->starts[i].index == (uint32_t)index)) {
+            (index == ENET_ALL_TASKS ||
+             n->starts[i].index == (uint32_t)index)) {
             count++;
         }
     }
@@ -818,7 +821,7 @@
 }
 
 int
-enet_started_twice(const struct enet *n)
+enet_count_repeated_starts(const struct enet *n)
 {
     struct enet_start *sorted;
     int twice = 0;
@@ -837,7 +840,7 @@
 }
 
 int
-enet_unanswered(const struct enet *n)
+enet_count_unanswered(const struct enet *n)
 {
     int count = 0;
 
@@ -845,7 +848,8 @@
         const struct enet_answer *a = &n->answers[i];
         const struct enet_node *node = &n->nodes[a->node];
 
-        if (a->times == 0 && node->e != NULL && node->incarnation == a->life) {
+        if (a->answer_count == 0 && node->e != NULL &&
+            node->incarnation == a->node_incarnation) {
             count++;
         }
     }
@@ -853,12 +857,12 @@
 }
 
 int
-enet_doubled_answers(const struct enet *n)
+enet_count_repeated_answers(const struct enet *n)
 {
     int doubled = 0;
 
     for (size_t i = 0; i < n->n_answers; i++) {
-        doubled += n->answers[i].times > 1 ? 1 : 0;
+        doubled += n->answers[i].answer_count > 1 ? 1 : 0;
     }
     return doubled;
 }
--- a/tests/entry_net.h
+++ b/tests/entry_net.h
@@ -13,15 +13,16 @@
     ENET_NODES_MAX = 12,
     ENET_UPSTREAMS_MAX = 32,
     ENET_PER_ZONE = 8, /* upstreams in a zone */
-    ENET_WHOLE = -1,   /* of enet_starts(): all tasks of the key together */
+    ENET_ALL_TASKS =
+        -1, /* of enet_count_starts(): all tasks of the key together */
 };
 
 #define ENET_DELAY_US INT64_C(1500)
 
 struct enet;
 
-/** enum enet_fate - what the network does with a message */
-enum enet_fate { ENET_PASS, ENET_DROP, ENET_DOUBLE, ENET_LATE };
+/** enum enet_delivery - what the network does with a message */
+enum enet_delivery { ENET_DELIVER, ENET_DROP, ENET_DUPLICATE, ENET_DELAY };
 
 /** struct enet_options - how to construct a network */
 struct enet_options {
@@ -31,16 +32,16 @@
     bool new_region;
     int64_t run_us; /* run time of every task */
     /* in per cent, of all messages between instances */
-    int lost;
-    int doubled;
-    int late; /* by up to 40 ms, so that later ones overtake */
+    int lost_percent;
+    int duplicated_percent;
+    int delayed_percent; /* by up to 40 ms, so that later ones overtake */
     /* more by hand: NULL passes all */
-    enum enet_fate (*fate)(struct enet *n, int from, int to,
-                           const struct msg *m);
+    enum enet_delivery (*filter)(struct enet *n, int from, int to,
+                                 const struct msg *m);
     /* messages to somebody who is no node, a control process say */
-    void (*outside)(struct enet *n, int from, struct name to,
-                    const struct msg *m);
-    void (*tune)(struct entry_options *o);
+    void (*on_unknown_dest)(struct enet *n, int from, struct name to,
+                            const struct msg *m);
+    void (*adjust_options)(struct entry_options *o);
     bool no_config; /* nodes get none at their start */
 };
 
@@ -48,8 +49,8 @@
 struct enet_answer {
     uint64_t request;
     int node;
-    uint64_t life; /* incarnation that was asked */
-    int times;     /* it was answered: more than once is a fault */
+    uint64_t node_incarnation; /* incarnation that was asked */
+    int answer_count;          /* it was answered: more than once is a fault */
     enum effect_kind kind;
     struct ef_problem problem;
     struct job_answer *answer;
@@ -60,7 +61,8 @@
     int64_t at_us;
     uint64_t order;
     int to;
-    uint64_t life;      /* incarnation of the receiver for upstream events */
+    uint64_t
+        to_incarnation; /* incarnation of the receiver for upstream events */
     struct event event; /* pointers are owned by the packet */
     struct msg msg;
 };
@@ -70,7 +72,7 @@
     struct name zone;
     uint64_t incarnation;
     struct entry *e; /* NULL while dead */
-    bool frozen;     /* paused: gets nothing, sends nothing */
+    bool is_paused;  /* paused: gets nothing, sends nothing */
     bool stopped;
 };
 
@@ -79,8 +81,8 @@
     struct name zone;
     uint64_t incarnation;
     uint64_t epoch;
-    bool silent;
-    int64_t announce_us;
+    bool unresponsive;
+    int64_t next_announce_us;
 };
 
 struct enet_start {
@@ -101,10 +103,10 @@
     struct entry_peer peers[ENET_NODES_MAX];
     int64_t now_us;
     uint64_t random;
-    uint64_t orders;
-    uint64_t requests;
+    uint64_t next_order;
+    uint64_t last_request;
     uint64_t messages; /* sent between instances */
-    uint64_t by_kind[MSG_KINDS];
+    uint64_t messages_by_kind[MSG_KINDS];
     struct enet_packet *packets;
     size_t n_packets;
     size_t room;
@@ -142,13 +144,13 @@
 uint64_t enet_cancel(struct enet *n, int node, const char *key);
 void enet_stop(struct enet *n, int node);
 
-/** enet_send() - a message from a node, or from anybody else, arrives now;
+/** enet_inject() - a message from a node, or from anybody else, arrives now;
  * frees @m */
-void enet_send(struct enet *n, struct name from, int to, struct msg *m);
+void enet_inject(struct enet *n, struct name from, int to, struct msg *m);
 
-/** enet_key() - a minted key of a zone, issued so long before now */
-void enet_key(const struct enet *n, const char *zone, int number,
-              int64_t ago_us, char out[KEY_TEXT_SIZE]);
+/** enet_mint_key() - a minted key of a zone, issued so long before now */
+void enet_mint_key(const struct enet *n, const char *zone, int number,
+                   int64_t ago_us, char out[KEY_TEXT_SIZE]);
 
 /** enet_kill() - the process is gone; connections break */
 void enet_kill(struct enet *n, int node);
@@ -156,31 +158,33 @@
 /** enet_restart() - a new incarnation with nothing remembered */
 void enet_restart(struct enet *n, int node);
 
-/** enet_freeze() - pauses a process, or lets it go on; the clock goes on */
-void enet_freeze(struct enet *n, int node, bool frozen);
+/** enet_pause() - pauses a process, or lets it go on; the clock goes on */
+void enet_pause(struct enet *n, int node, bool frozen);
 
 /** enet_answer() - of a request; its kind is EFFECT_KINDS while it waits */
 const struct enet_answer *enet_answer(const struct enet *n, uint64_t request);
 
-/** enet_problem() - whether the request was refused with that problem */
-bool enet_problem(const struct enet *n, uint64_t request,
-                  enum problem problem);
+/** enet_refused_with() - whether the request was refused with that problem */
+bool enet_refused_with(const struct enet *n, uint64_t request,
+                       enum problem problem);
 
-/** enet_ended() - whether it was answered with that status and reason */
-bool enet_ended(const struct enet *n, uint64_t request, enum job_status status,
-                enum reason reason);
+/** enet_answered_with() - whether it was answered with that status and reason
+ */
+bool enet_answered_with(const struct enet *n, uint64_t request,
+                        enum job_status status, enum reason reason);
 
-/** enet_starts() - starts of a task that upstreams saw */
-int enet_starts(const struct enet *n, const char *key, int index);
+/** enet_count_starts() - starts of a task that upstreams saw */
+int enet_count_starts(const struct enet *n, const char *key, int index);
 
-/** enet_started_twice() - tasks that upstreams saw started more than once */
-int enet_started_twice(const struct enet *n);
+/** enet_count_repeated_starts() - tasks that upstreams saw started more than
+ * once */
+int enet_count_repeated_starts(const struct enet *n);
 
-/** enet_unanswered() - requests without an answer at instances that were up
- * all the time */
-int enet_unanswered(const struct enet *n);
+/** enet_count_unanswered() - requests without an answer at instances that were
+ * up all the time */
+int enet_count_unanswered(const struct enet *n);
 
-/** enet_doubled_answers() - requests answered more than once */
-int enet_doubled_answers(const struct enet *n);
+/** enet_count_repeated_answers() - requests answered more than once */
+int enet_count_repeated_answers(const struct enet *n);
 
 #endif
--- a/tests/follow_test.c
+++ b/tests/follow_test.c
@@ -96,7 +96,7 @@
 
     m.u.config_reply.version = controls[control].version;
     if (polls[at].version_only) {
-        enet_send(n, names[control], polls[at].node, &m);
+        enet_inject(n, names[control], polls[at].node, &m);
         blob_unref(text);
         return;
     }
@@ -107,7 +107,7 @@
     else {
         m.u.config_reply.config = blob_ref(text);
     }
-    enet_send(n, names[control], polls[at].node, &m);
+    enet_inject(n, names[control], polls[at].node, &m);
     blob_unref(text);
 }
 
@@ -176,8 +176,8 @@
                              .seed = 5,
                              .new_region = true,
                              .run_us = SEC / 10,
-                             .outside = on_outside,
-                             .tune = follow_controls,
+                             .on_unknown_dest = on_outside,
+                             .adjust_options = follow_controls,
                              .no_config = true};
 
     memset(controls, 0, sizeof(controls));
@@ -338,7 +338,7 @@
     run(n, 2 * SEC);
     m.u.config_reply.version = 5;
     m.u.config_reply.config = blob_new("[service", 8);
-    enet_send(n, names[0], 0, &m);
+    enet_inject(n, names[0], 0, &m);
     CU_ASSERT_TRUE(all_have(n, 4));
     for (int i = 0; i < CONTROLS; i++) {
         controls[i].version = 6;
--- a/tests/handover_test.c
+++ b/tests/handover_test.c
@@ -25,7 +25,7 @@
                              .run_us = 20 * MSEC};
     struct enet *n = enet_new(&o);
 
-    enet_key(n, "z0", 1, 0, key);
+    enet_mint_key(n, "z0", 1, 0, key);
     return n;
 }
 
@@ -34,7 +34,7 @@
 {
     const struct enet_answer *a = enet_answer(n, request);
 
-    if (!enet_ended(n, request, JOB_COMPLETE, REASON_COMPLETED) ||
+    if (!enet_answered_with(n, request, JOB_COMPLETE, REASON_COMPLETED) ||
         a->answer->n_tasks != 4) {
         return false;
     }
@@ -53,7 +53,7 @@
 static bool
 lost(const struct enet *n, uint64_t request)
 {
-    return enet_ended(n, request, JOB_FAILED, REASON_CLAIMER_LOST);
+    return enet_answered_with(n, request, JOB_FAILED, REASON_CLAIMER_LOST);
 }
 
 /* A job that ran at node 1, which then stopped as planned and is gone. */
@@ -95,8 +95,8 @@
         CU_ASSERT_TRUE(whole(n, again[i]));
     }
     CU_ASSERT_TRUE(whole(n, get));
-    CU_ASSERT_EQUAL(enet_starts(n, key, ENET_WHOLE), 4);
-    CU_ASSERT_EQUAL(enet_doubled_answers(n), 0);
+    CU_ASSERT_EQUAL(enet_count_starts(n, key, ENET_ALL_TASKS), 4);
+    CU_ASSERT_EQUAL(enet_count_repeated_answers(n), 0);
     enet_free(n);
 }
 
@@ -126,7 +126,7 @@
     for (int i = 0; i < 3; i++) {
         CU_ASSERT_TRUE(whole(n, again[i]));
     }
-    CU_ASSERT_EQUAL(enet_starts(n, key, ENET_WHOLE), 4);
+    CU_ASSERT_EQUAL(enet_count_starts(n, key, ENET_ALL_TASKS), 4);
     enet_free(n);
 }
 
@@ -150,7 +150,7 @@
     again = enet_submit(n, 0, key, 4, 11);
     enet_run(n, SEC);
     CU_ASSERT_TRUE(whole(n, again));
-    CU_ASSERT_EQUAL(enet_starts(n, key, ENET_WHOLE), 4);
+    CU_ASSERT_EQUAL(enet_count_starts(n, key, ENET_ALL_TASKS), 4);
     enet_free(n);
 }
 
@@ -174,7 +174,7 @@
     enet_run(n, 3 * SEC);
     CU_ASSERT_TRUE(lost(n, again[0]));
     CU_ASSERT_TRUE(lost(n, again[1]));
-    CU_ASSERT_EQUAL(enet_starts(n, key, ENET_WHOLE), 4);
+    CU_ASSERT_EQUAL(enet_count_starts(n, key, ENET_ALL_TASKS), 4);
     enet_free(n);
 }
 
@@ -192,9 +192,9 @@
     }
     enet_run(n, 3 * SEC);
     for (int i = 0; i < 3; i++) {
-        CU_ASSERT_TRUE(enet_problem(n, other[i], PROBLEM_CONFLICT));
+        CU_ASSERT_TRUE(enet_refused_with(n, other[i], PROBLEM_CONFLICT));
     }
-    CU_ASSERT_EQUAL(enet_starts(n, key, ENET_WHOLE), 4);
+    CU_ASSERT_EQUAL(enet_count_starts(n, key, ENET_ALL_TASKS), 4);
     enet_free(n);
 }
 
@@ -213,13 +213,13 @@
     enet_free(n);
 }
 
-static enum enet_fate
+static enum enet_delivery
 drop_handovers(struct enet *n, int from, int to, const struct msg *m)
 {
     (void)n;
     (void)from;
     (void)to;
-    return m->kind == MSG_ANSWER_HANDOVER ? ENET_DROP : ENET_PASS;
+    return m->kind == MSG_ANSWER_HANDOVER ? ENET_DROP : ENET_DELIVER;
 }
 
 /* The successor hears nothing of what it is sent, though its heartbeats come.
@@ -230,7 +230,7 @@
     struct enet *n = new_net(2, PER_ZONE);
     uint64_t again;
 
-    n->opts.fate = drop_handovers;
+    n->opts.filter = drop_handovers;
     (void)enet_submit(n, 1, key, 4, 11);
     enet_run(n, SEC);
     enet_stop(n, 1);
@@ -238,7 +238,7 @@
     CU_ASSERT_FALSE(n->nodes[1].stopped);
     enet_run(n, 150 * MSEC);
     CU_ASSERT_TRUE(n->nodes[1].stopped);
-    CU_ASSERT_TRUE(n->by_kind[MSG_ANSWER_HANDOVER] <= 11);
+    CU_ASSERT_TRUE(n->messages_by_kind[MSG_ANSWER_HANDOVER] <= 11);
     enet_kill(n, 1);
     again = enet_submit(n, 0, key, 4, 11);
     enet_run(n, 3 * SEC);
@@ -256,14 +256,14 @@
     int found = 0;
 
     for (int i = 0; i < 600; i++) {
-        enet_key(n, "z0", i, 0, keys[i]);
+        enet_mint_key(n, "z0", i, 0, keys[i]);
         (void)enet_submit(n, 1, keys[i], 1, 11);
         enet_run(n, 10 * MSEC);
     }
     enet_run(n, SEC);
-    n->opts.lost = 20;
-    n->opts.doubled = 20;
-    n->opts.late = 20;
+    n->opts.lost_percent = 20;
+    n->opts.duplicated_percent = 20;
+    n->opts.delayed_percent = 20;
     enet_stop(n, 1);
     enet_run(n, 2 * SEC);
     CU_ASSERT_TRUE(n->nodes[1].stopped);
@@ -288,7 +288,7 @@
 
     run_and_stop(n);
     enet_run(n, SEC);
-    CU_ASSERT_EQUAL(moved_tell(n->nodes[0].e, &moved), 1);
+    CU_ASSERT_EQUAL(successors_list(n->nodes[0].e, &moved), 1);
     free(moved);
     enet_run(n, 130 * SEC);
     for (int i = 2; i < NODES; i++) {
@@ -296,8 +296,8 @@
         uint64_t incarnation = n->nodes[1].incarnation;
 
         moved = NULL;
-        CU_ASSERT_EQUAL(moved_tell(n->nodes[i].e, &moved), 0);
-        CU_ASSERT_FALSE(moved_find(n->nodes[i].e, &at, &incarnation));
+        CU_ASSERT_EQUAL(successors_list(n->nodes[i].e, &moved), 0);
+        CU_ASSERT_FALSE(successors_follow(n->nodes[i].e, &at, &incarnation));
         free(moved);
     }
     enet_free(n);
--- a/tests/jobs_test.c
+++ b/tests/jobs_test.c
@@ -26,7 +26,7 @@
                              .run_us = run_us};
     struct enet *n = enet_new(&o);
 
-    enet_key(n, "z0", 1, 0, key);
+    enet_mint_key(n, "z0", 1, 0, key);
     return n;
 }
 
@@ -46,7 +46,7 @@
 {
     const struct enet_answer *a = enet_answer(n, request);
 
-    return enet_ended(n, request, JOB_COMPLETE, REASON_COMPLETED) &&
+    return enet_answered_with(n, request, JOB_COMPLETE, REASON_COMPLETED) &&
            a->answer->n_tasks == n_tasks &&
            count_states(a, TASK_RAN) == (int)n_tasks &&
            a->answer->tasks[n_tasks - 1].result != NULL;
@@ -70,14 +70,14 @@
     for (int i = 0; i <= NODES; i++) {
         CU_ASSERT_TRUE(complete(n, requests[i], 4));
     }
-    CU_ASSERT_EQUAL(enet_starts(n, key, ENET_WHOLE), 4);
+    CU_ASSERT_EQUAL(enet_count_starts(n, key, ENET_ALL_TASKS), 4);
     requests[0] = enet_submit(n, 0, key, 4, 11);
     requests[1] = enet_submit(n, OTHER_ZONE, key, 4, 11);
     enet_run(n, SEC);
     CU_ASSERT_TRUE(complete(n, requests[0], 4));
     CU_ASSERT_TRUE(complete(n, requests[1], 4));
-    CU_ASSERT_EQUAL(enet_starts(n, key, ENET_WHOLE), 4);
-    CU_ASSERT_EQUAL(enet_doubled_answers(n), 0);
+    CU_ASSERT_EQUAL(enet_count_starts(n, key, ENET_ALL_TASKS), 4);
+    CU_ASSERT_EQUAL(enet_count_repeated_answers(n), 0);
     enet_free(n);
 }
 
@@ -97,12 +97,12 @@
     requests[2] = enet_submit(n, 2, key, 4, 12);
     enet_run(n, SEC);
     for (int i = 0; i < 3; i++) {
-        CU_ASSERT_TRUE(enet_problem(n, requests[i], PROBLEM_CONFLICT));
+        CU_ASSERT_TRUE(enet_refused_with(n, requests[i], PROBLEM_CONFLICT));
         CU_ASSERT_TRUE(
             enet_answer(n, requests[i])->problem.request_started_nothing);
         CU_ASSERT_FALSE(enet_answer(n, requests[i])->problem.not_run);
     }
-    CU_ASSERT_EQUAL(enet_starts(n, key, ENET_WHOLE), 4);
+    CU_ASSERT_EQUAL(enet_count_starts(n, key, ENET_ALL_TASKS), 4);
     enet_free(n);
 }
 
@@ -123,14 +123,16 @@
     enet_run(n, 50 * MSEC);
     enet_kill(n, 1);
     enet_run(n, SEC);
-    CU_ASSERT_TRUE(enet_ended(n, waits, JOB_FAILED, REASON_CLAIMER_LOST));
+    CU_ASSERT_TRUE(
+        enet_answered_with(n, waits, JOB_FAILED, REASON_CLAIMER_LOST));
     CU_ASSERT_EQUAL(count_states(enet_answer(n, waits), TASK_UNKNOWN), 4);
     later = enet_submit(n, 0, key, 4, 11);
     get = enet_get(n, 2, key, true);
     enet_run(n, SEC);
-    CU_ASSERT_TRUE(enet_ended(n, later, JOB_FAILED, REASON_CLAIMER_LOST));
-    CU_ASSERT_TRUE(enet_problem(n, get, PROBLEM_CLAIMER_LOST));
-    CU_ASSERT_EQUAL(enet_starts(n, key, ENET_WHOLE), 4);
+    CU_ASSERT_TRUE(
+        enet_answered_with(n, later, JOB_FAILED, REASON_CLAIMER_LOST));
+    CU_ASSERT_TRUE(enet_refused_with(n, get, PROBLEM_CLAIMER_LOST));
+    CU_ASSERT_EQUAL(enet_count_starts(n, key, ENET_ALL_TASKS), 4);
     enet_free(n);
 }
 
@@ -152,10 +154,10 @@
     requests[2] = enet_submit(n, 5, key, 4, 11);
     enet_run(n, SEC);
     for (int i = 0; i < 3; i++) {
-        CU_ASSERT_TRUE(
-            enet_ended(n, requests[i], JOB_FAILED, REASON_CLAIMER_LOST));
+        CU_ASSERT_TRUE(enet_answered_with(n, requests[i], JOB_FAILED,
+                                          REASON_CLAIMER_LOST));
     }
-    CU_ASSERT_EQUAL(enet_starts(n, key, ENET_WHOLE), 4);
+    CU_ASSERT_EQUAL(enet_count_starts(n, key, ENET_ALL_TASKS), 4);
     enet_free(n);
 }
 
@@ -168,14 +170,14 @@
     uint64_t waiting;
 
     enet_run(n, 50 * MSEC);
-    CU_ASSERT_TRUE(enet_problem(n, unknown, PROBLEM_UNKNOWN_JOB));
+    CU_ASSERT_TRUE(enet_refused_with(n, unknown, PROBLEM_UNKNOWN_JOB));
     (void)enet_submit(n, 1, key, 4, 11);
     enet_run(n, 50 * MSEC);
     running = enet_get(n, OTHER_ZONE, key, false);
     waiting = enet_get(n, OTHER_ZONE, key, true);
     enet_run(n, 50 * MSEC);
-    CU_ASSERT_TRUE(enet_ended(n, running, JOB_RUNNING, REASON_NONE));
-    CU_ASSERT_EQUAL(enet_answer(n, waiting)->times, 0);
+    CU_ASSERT_TRUE(enet_answered_with(n, running, JOB_RUNNING, REASON_NONE));
+    CU_ASSERT_EQUAL(enet_answer(n, waiting)->answer_count, 0);
     enet_run(n, SEC);
     CU_ASSERT_TRUE(complete(n, waiting, 4));
     enet_free(n);
@@ -198,12 +200,12 @@
     struct enet *n = new_net(100 * MSEC);
     uint64_t requests[6];
 
-    n->opts.tune = keep_briefly;
+    n->opts.adjust_options = keep_briefly;
     for (int i = 0; i < NODES; i++) {
         enet_restart(n, i);
     }
     enet_run(n, 35 * SEC);
-    enet_key(n, "z0", 1, 0, key);
+    enet_mint_key(n, "z0", 1, 0, key);
     requests[0] = enet_submit(n, 1, key, 4, 11);
     enet_run(n, 3 * SEC);
     CU_ASSERT_TRUE(complete(n, requests[0], 4));
@@ -213,20 +215,20 @@
     requests[2] = enet_submit(n, OTHER_ZONE, key, 4, 11);
     requests[3] = enet_submit(n, OTHER_ZONE, key, 4, 12);
     enet_run(n, SEC);
-    CU_ASSERT_TRUE(enet_problem(n, requests[1], PROBLEM_FORGOTTEN));
-    CU_ASSERT_TRUE(enet_problem(n, requests[2], PROBLEM_FORGOTTEN));
-    CU_ASSERT_TRUE(enet_problem(n, requests[3], PROBLEM_CONFLICT));
+    CU_ASSERT_TRUE(enet_refused_with(n, requests[1], PROBLEM_FORGOTTEN));
+    CU_ASSERT_TRUE(enet_refused_with(n, requests[2], PROBLEM_FORGOTTEN));
+    CU_ASSERT_TRUE(enet_refused_with(n, requests[3], PROBLEM_CONFLICT));
     enet_run(n, 27 * SEC);
     requests[4] = enet_submit(n, 1, key, 4, 11);
     requests[5] = enet_submit(n, OTHER_ZONE, key, 4, 11);
     enet_run(n, 10 * SEC);
     for (int i = 4; i < 6; i++) {
-        CU_ASSERT_TRUE(enet_problem(n, requests[i], PROBLEM_KEY_TOO_OLD));
+        CU_ASSERT_TRUE(enet_refused_with(n, requests[i], PROBLEM_KEY_TOO_OLD));
         CU_ASSERT_TRUE(
             enet_answer(n, requests[i])->problem.request_started_nothing);
         CU_ASSERT_FALSE(enet_answer(n, requests[i])->problem.not_run);
     }
-    CU_ASSERT_EQUAL(enet_starts(n, key, ENET_WHOLE), 4);
+    CU_ASSERT_EQUAL(enet_count_starts(n, key, ENET_ALL_TASKS), 4);
     CU_ASSERT_EQUAL(claims_count(n->nodes[0].e), 0);
     enet_free(n);
 }
@@ -245,20 +247,20 @@
     struct enet *n = new_net(20 * MSEC);
     char keys[20][KEY_TEXT_SIZE];
 
-    n->opts.tune = keep_little;
+    n->opts.adjust_options = keep_little;
     enet_restart(n, 1);
     enet_run(n, 12 * SEC);
     for (int i = 0; i < 20; i++) {
-        enet_key(n, "z0", i, 0, keys[i]);
+        enet_mint_key(n, "z0", i, 0, keys[i]);
         (void)enet_submit(n, 1, keys[i], 2, 11);
         enet_run(n, 100 * MSEC);
     }
     CU_ASSERT_TRUE(jobs_answer_bytes(n->nodes[1].e) <= 8000);
     CU_ASSERT_TRUE(jobs_answer_bytes(n->nodes[1].e) > 4000);
-    CU_ASSERT_TRUE(
-        enet_problem(n, enet_submit(n, 1, keys[0], 2, 11), PROBLEM_FORGOTTEN));
+    CU_ASSERT_TRUE(enet_refused_with(n, enet_submit(n, 1, keys[0], 2, 11),
+                                     PROBLEM_FORGOTTEN));
     CU_ASSERT_TRUE(complete(n, enet_submit(n, 1, keys[19], 2, 11), 2));
-    CU_ASSERT_EQUAL(enet_started_twice(n), 0);
+    CU_ASSERT_EQUAL(enet_count_repeated_starts(n), 0);
     enet_free(n);
 }
 
@@ -272,11 +274,13 @@
     uint64_t submit = enet_submit(n, 1, key, 4, 11);
 
     enet_run(n, SEC);
-    CU_ASSERT_TRUE(enet_ended(n, submit, JOB_FAILED, REASON_CANCELLED));
-    CU_ASSERT_TRUE(enet_ended(n, cancel, JOB_FAILED, REASON_CANCELLED));
+    CU_ASSERT_TRUE(
+        enet_answered_with(n, submit, JOB_FAILED, REASON_CANCELLED));
+    CU_ASSERT_TRUE(
+        enet_answered_with(n, cancel, JOB_FAILED, REASON_CANCELLED));
     CU_ASSERT_EQUAL(enet_answer(n, submit)->answer->n_tasks, 4);
     CU_ASSERT_EQUAL(count_states(enet_answer(n, submit), TASK_NOT_RUN), 4);
-    CU_ASSERT_EQUAL(enet_starts(n, key, ENET_WHOLE), 0);
+    CU_ASSERT_EQUAL(enet_count_starts(n, key, ENET_ALL_TASKS), 0);
     enet_free(n);
 }
 
@@ -291,13 +295,15 @@
     int started;
 
     enet_run(n, 100 * MSEC);
-    started = enet_starts(n, key, ENET_WHOLE);
+    started = enet_count_starts(n, key, ENET_ALL_TASKS);
     cancel = enet_cancel(n, OTHER_ZONE, key);
     enet_run(n, SEC);
-    CU_ASSERT_TRUE(enet_ended(n, submit, JOB_FAILED, REASON_CANCELLED));
-    CU_ASSERT_TRUE(enet_ended(n, cancel, JOB_FAILED, REASON_CANCELLED));
+    CU_ASSERT_TRUE(
+        enet_answered_with(n, submit, JOB_FAILED, REASON_CANCELLED));
+    CU_ASSERT_TRUE(
+        enet_answered_with(n, cancel, JOB_FAILED, REASON_CANCELLED));
     CU_ASSERT_TRUE(started > 0);
-    CU_ASSERT_EQUAL(enet_starts(n, key, ENET_WHOLE), started);
+    CU_ASSERT_EQUAL(enet_count_starts(n, key, ENET_ALL_TASKS), started);
     CU_ASSERT_EQUAL(count_states(enet_answer(n, submit), TASK_UNKNOWN),
                     started);
     CU_ASSERT_EQUAL(count_states(enet_answer(n, cancel), TASK_NOT_RUN),
@@ -315,13 +321,13 @@
     uint64_t later;
 
     enet_run(n, 5 * SEC + 10 * MSEC);
-    CU_ASSERT_TRUE(enet_ended(n, submit, JOB_FAILED, REASON_DEADLINE));
+    CU_ASSERT_TRUE(enet_answered_with(n, submit, JOB_FAILED, REASON_DEADLINE));
     CU_ASSERT_EQUAL(count_states(enet_answer(n, submit), TASK_UNKNOWN), 4);
     enet_run(n, 3 * SEC);
     CU_ASSERT_EQUAL(entry_counters(n->nodes[1].e).outcomes_dropped, 4);
     later = enet_submit(n, 1, key, 4, 11);
-    CU_ASSERT_TRUE(enet_ended(n, later, JOB_FAILED, REASON_DEADLINE));
-    CU_ASSERT_EQUAL(enet_starts(n, key, ENET_WHOLE), 4);
+    CU_ASSERT_TRUE(enet_answered_with(n, later, JOB_FAILED, REASON_DEADLINE));
+    CU_ASSERT_EQUAL(enet_count_starts(n, key, ENET_ALL_TASKS), 4);
     enet_free(n);
 }
 
@@ -342,9 +348,9 @@
     enet_run(n, 10 * MSEC);
     enet_stop(n, 1);
     enet_stop(n, 2);
-    enet_key(n, "z0", 2, 0, fresh);
+    enet_mint_key(n, "z0", 2, 0, fresh);
     refused = enet_submit(n, 1, fresh, 1, 12);
-    CU_ASSERT_TRUE(enet_problem(n, refused, PROBLEM_STOPPING));
+    CU_ASSERT_TRUE(enet_refused_with(n, refused, PROBLEM_STOPPING));
     CU_ASSERT_TRUE(enet_answer(n, refused)->problem.retry_after_us > 0);
     CU_ASSERT_FALSE(n->nodes[1].stopped || n->nodes[2].stopped);
     enet_run(n, SEC);
@@ -364,21 +370,21 @@
     uint64_t submit;
     int started;
 
-    n->opts.tune = tune;
+    n->opts.adjust_options = tune;
     enet_restart(n, 1);
     enet_run(n, 11 * SEC);
-    enet_key(n, "z0", 1, 0, key);
+    enet_mint_key(n, "z0", 1, 0, key);
     submit = enet_submit(n, 1, key, JOB_TASKS_MAX, 11);
 
     enet_run(n, 100 * MSEC);
-    started = enet_starts(n, key, ENET_WHOLE);
+    started = enet_count_starts(n, key, ENET_ALL_TASKS);
     CU_ASSERT_TRUE(started > 0 && started < JOB_TASKS_MAX);
-    enet_freeze(n, 1, true);
+    enet_pause(n, 1, true);
     enet_run(n, 700 * SEC);
-    enet_freeze(n, 1, false);
+    enet_pause(n, 1, false);
     enet_run(n, 5 * SEC);
-    CU_ASSERT_EQUAL(enet_starts(n, key, ENET_WHOLE), started);
-    CU_ASSERT_TRUE(enet_ended(n, submit, JOB_FAILED, REASON_DEADLINE));
+    CU_ASSERT_EQUAL(enet_count_starts(n, key, ENET_ALL_TASKS), started);
+    CU_ASSERT_TRUE(enet_answered_with(n, submit, JOB_FAILED, REASON_DEADLINE));
     enet_free(n);
 }
 
@@ -430,11 +436,11 @@
     CU_ASSERT_EQUAL(refusal(n, key, spec_of("cake", 1)),
                     PROBLEM_UNKNOWN_SERVICE);
     CU_ASSERT_EQUAL(refusal(n, "a b", spec_of("camp", 1)), PROBLEM_BAD_KEY);
-    enet_key(n, "z0", 9, -10 * SEC, future);
+    enet_mint_key(n, "z0", 9, -10 * SEC, future);
     CU_ASSERT_EQUAL(refusal(n, future, spec_of("camp", 1)), PROBLEM_BAD_KEY);
-    enet_key(n, "z7", 9, 0, future);
+    enet_mint_key(n, "z7", 9, 0, future);
     CU_ASSERT_EQUAL(refusal(n, future, spec_of("camp", 1)), PROBLEM_BAD_KEY);
-    enet_key(n, "z0", 9, 700 * SEC, future);
+    enet_mint_key(n, "z0", 9, 700 * SEC, future);
     CU_ASSERT_EQUAL(refusal(n, future, spec_of("camp", 1)),
                     PROBLEM_KEY_TOO_OLD);
     CU_ASSERT_EQUAL(n->n_starts, 0);
@@ -457,7 +463,7 @@
     spec->tasks[0].need.accelerators = 9;
     request = enet_submit_spec(n, 1, key, spec, false);
     enet_run(n, 20 * MSEC);
-    CU_ASSERT_TRUE(enet_problem(n, request, PROBLEM_NEVER_FITS));
+    CU_ASSERT_TRUE(enet_refused_with(n, request, PROBLEM_NEVER_FITS));
     CU_ASSERT_TRUE(enet_answer(n, request)->problem.not_run);
     for (int i = 0; i < PER_ZONE; i++) {
         CU_ASSERT_EQUAL(claims_count(n->nodes[i].e), 0);
@@ -478,7 +484,7 @@
     enet_run(n, 20 * MSEC);
     CU_ASSERT_EQUAL(enet_answer(n, accepted)->kind, EF_ACCEPTED);
     enet_run(n, SEC);
-    CU_ASSERT_EQUAL(enet_answer(n, accepted)->times, 1);
+    CU_ASSERT_EQUAL(enet_answer(n, accepted)->answer_count, 1);
     get = enet_get(n, OTHER_ZONE, key, false);
     enet_run(n, 20 * MSEC);
     CU_ASSERT_TRUE(complete(n, get, 2));
@@ -499,25 +505,25 @@
     enet_run(n, 50 * MSEC);
     enet_step(n, 1, &gone);
     enet_run(n, SEC);
-    CU_ASSERT_EQUAL(enet_answer(n, submit)->times, 0);
+    CU_ASSERT_EQUAL(enet_answer(n, submit)->answer_count, 0);
     again = enet_submit(n, 1, key, 2, 11);
     CU_ASSERT_TRUE(complete(n, again, 2));
-    CU_ASSERT_EQUAL(enet_starts(n, key, ENET_WHOLE), 2);
+    CU_ASSERT_EQUAL(enet_count_starts(n, key, ENET_ALL_TASKS), 2);
     enet_free(n);
 }
 
 /* The connection to the claimer breaks with the question under way, and later
  * with the answer.  Without asking again the caller would wait for nothing
  * until its deadline, though the job is done. */
-static enum enet_fate
+static enum enet_delivery
 lose_waits(struct enet *n, int from, int to, const struct msg *m)
 {
     (void)from;
     (void)to;
     return (m->kind == MSG_JOB_WAIT || m->kind == MSG_JOB_ANSWER) &&
-                   n->by_kind[m->kind] <= 1
+                   n->messages_by_kind[m->kind] <= 1
                ? ENET_DROP
-               : ENET_PASS;
+               : ENET_DELIVER;
 }
 
 static void
@@ -526,7 +532,7 @@
     struct enet *n = new_net(300 * MSEC);
     uint64_t again;
 
-    n->opts.fate = lose_waits;
+    n->opts.filter = lose_waits;
     (void)enet_submit(n, 1, key, 2, 11);
     enet_run(n, 50 * MSEC);
     again = enet_submit(n, OTHER_ZONE, key, 2, 11);
@@ -535,13 +541,13 @@
     enet_free(n);
 }
 
-static enum enet_fate
+static enum enet_delivery
 lose_answers(struct enet *n, int from, int to, const struct msg *m)
 {
     (void)n;
     (void)from;
     (void)to;
-    return m->kind == MSG_JOB_ANSWER ? ENET_DROP : ENET_PASS;
+    return m->kind == MSG_JOB_ANSWER ? ENET_DROP : ENET_DELIVER;
 }
 
 /* The claimer's answers never arrive, though it is up and hears us.  The
@@ -554,16 +560,16 @@
     uint64_t again;
     uint64_t get;
 
-    n->opts.fate = lose_answers;
+    n->opts.filter = lose_answers;
     (void)enet_submit(n, 1, key, 2, 11);
     enet_run(n, 50 * MSEC);
     again = enet_submit(n, OTHER_ZONE, key, 2, 11);
     get = enet_get(n, 2, key, true);
     enet_run(n, 5200 * MSEC);
-    CU_ASSERT_TRUE(enet_ended(n, again, JOB_FAILED, REASON_DEADLINE));
+    CU_ASSERT_TRUE(enet_answered_with(n, again, JOB_FAILED, REASON_DEADLINE));
     CU_ASSERT_EQUAL(count_states(enet_answer(n, again), TASK_UNKNOWN), 2);
     enet_run(n, 150 * SEC);
-    CU_ASSERT_TRUE(enet_ended(n, get, JOB_RUNNING, REASON_NONE));
+    CU_ASSERT_TRUE(enet_answered_with(n, get, JOB_RUNNING, REASON_NONE));
     enet_free(n);
 }
 
@@ -594,7 +600,7 @@
     CU_ASSERT_EQUAL(count_text(a->text, "\"started\""), 15);
     /* The claim and every start were noted, 16 of them are kept. */
     (void)snprintf(left_out, sizeof(left_out), "\"left_out\": %d",
-                   1 + enet_starts(n, key, ENET_WHOLE) - 16);
+                   1 + enet_count_starts(n, key, ENET_ALL_TASKS) - 16);
     CU_ASSERT_EQUAL(count_text(a->text, left_out), 1);
     (void)enet_cancel(n, 1, key);
     a = enet_answer(n, enet_explain(n, 1, key));
@@ -662,12 +668,12 @@
     for (int i = 0; i < 5000; i++) {
         struct msg m = random_message(n);
 
-        enet_send(n, name_of(senders[i % 3]), 1, &m);
+        enet_inject(n, name_of(senders[i % 3]), 1, &m);
     }
     enet_run(n, SEC);
     CU_ASSERT_TRUE(complete(n, submit, 2));
     CU_ASSERT_TRUE(entry_counters(n->nodes[1].e).messages_bad > 500);
-    CU_ASSERT_EQUAL(enet_starts(n, key, ENET_WHOLE), 2);
+    CU_ASSERT_EQUAL(enet_count_starts(n, key, ENET_ALL_TASKS), 2);
     enet_free(n);
 }
 
--- a/tests/member_test.c
+++ b/tests/member_test.c
@@ -27,7 +27,7 @@
 static const struct member *
 seen(const struct enet *n, int by, int node)
 {
-    return members_of(n->nodes[by].e, n->nodes[node].name);
+    return members_by_name(n->nodes[by].e, n->nodes[node].name);
 }
 
 /* If two instances disagreed on the voters of a zone, two claimers could each
@@ -71,7 +71,7 @@
     enet_kill(n, 1);
     enet_run(n, SEC);
     CU_ASSERT_FALSE(seen(n, 0, 1)->up);
-    enet_freeze(n, 2, true);
+    enet_pause(n, 2, true);
     enet_run(n, SEC);
     CU_ASSERT_TRUE(seen(n, 0, 2)->up);
     enet_run(n, 2 * SEC);
@@ -98,7 +98,7 @@
     bad = entry_counters(n->nodes[0].e).messages_bad;
     late.u.heartbeat.incarnation = 1;
     late.u.heartbeat.stopping = 1;
-    enet_send(n, n->nodes[1].name, 0, &late);
+    enet_inject(n, n->nodes[1].name, 0, &late);
     CU_ASSERT_EQUAL(seen(n, 0, 1)->incarnation, 2);
     CU_ASSERT_FALSE(seen(n, 0, 1)->stopping);
     CU_ASSERT_EQUAL(entry_counters(n->nodes[0].e).messages_bad, bad + 1);
@@ -112,9 +112,9 @@
 {
     struct enet *n = new_net(2, PER_ZONE);
 
-    enet_freeze(n, 1, true);
+    enet_pause(n, 1, true);
     enet_run(n, 60 * SEC);
-    enet_freeze(n, 1, false);
+    enet_pause(n, 1, false);
     enet_run(n, 10 * MSEC);
     for (int i = 0; i < n->n_nodes; i++) {
         CU_ASSERT_TRUE(seen(n, 1, i)->up);
@@ -131,7 +131,7 @@
 static int far_loads;
 static int far_beats;
 
-static enum enet_fate
+static enum enet_delivery
 count_loads(struct enet *n, int from, int to, const struct msg *m)
 {
     bool loads = m->kind == MSG_HEARTBEAT && m->u.heartbeat.has_loads != 0;
@@ -142,7 +142,7 @@
         far_beats += to == PER_ZONE ? 1 : 0;
     }
     (void)n;
-    return ENET_PASS;
+    return ENET_DELIVER;
 }
 
 static void
@@ -170,7 +170,7 @@
 {
     struct enet *n = new_net(2, PER_ZONE);
 
-    n->opts.fate = count_loads;
+    n->opts.filter = count_loads;
     near_loads = far_loads = far_beats = 0;
     enet_run(n, 8 * SEC);
     CU_ASSERT_EQUAL(far_beats, 16);
