--- a/src/apply.c
+++ b/src/apply.c
@@ -18,9 +18,9 @@
     c->snapshot = state;
     c->snapshot_index = index;
     c->snapshot_term = term;
-    c->snapshot_seq = control_next_seq(c);
-    c->bytes_since = 0;
-    c->dirty = true;
+    c->snapshot_sync_seq = control_next_sync_seq(c);
+    c->bytes_since_snapshot = 0;
+    c->needs_sync = true;
     c->counters.snapshots++;
 }
 
@@ -49,7 +49,7 @@
                     (unsigned long long)p->base_version,
                     control_result_slug(o.result));
     }
-    serve_applied(c, e->index, e->term, &o);
+    serve_entry_applied(c, e->index, e->term, &o);
 }
 
 static void
@@ -71,7 +71,7 @@
         fsm_set_members(&c->fsm, &m.u.membership);
         control_log(c, LOG_NOTICE, CONTROL_REASON_MEMBERS, c->opts.self,
                     "%zu members", m.u.membership.n_members);
-        serve_applied(c, e->index, e->term, &o);
+        serve_entry_applied(c, e->index, e->term, &o);
     }
     else {
         control_log(c, LOG_ERR, CONTROL_REASON_BAD_ENTRY, c->opts.self,
@@ -83,33 +83,36 @@
 static void
 make_snapshot(struct control *c)
 {
-    bool due = c->applied - c->snapshot_index >= c->opts.snapshot_entries ||
-               c->bytes_since >= c->opts.snapshot_bytes;
-    uint64_t term = clog_term(&c->log, c->applied);
+    bool due =
+        c->applied_index - c->snapshot_index >= c->opts.snapshot_entries ||
+        c->bytes_since_snapshot >= c->opts.snapshot_bytes;
+    uint64_t term = clog_term(&c->log, c->applied_index);
     struct blob *state;
 
-    if (!due || c->snapshot_seq > c->saved) {
+    if (!due || c->snapshot_sync_seq > c->synced_seq) {
         return;
     }
-    state = fsm_encode(&c->fsm, c->applied, term);
-    apply_save_snapshot(c, state, c->applied, term, false);
+    state = fsm_encode(&c->fsm, c->applied_index, term);
+    apply_save_snapshot(c, state, c->applied_index, term, false);
     control_log(c, LOG_INFO, CONTROL_REASON_SNAPSHOT, c->opts.self,
-                "at %llu, %zu bytes", (unsigned long long)c->applied,
+                "at %llu, %zu bytes", (unsigned long long)c->applied_index,
                 state->size);
 }
 
 void
 apply_committed(struct control *c)
 {
-    while (c->applied < c->commit) {
-        const struct rec_log_entry *e = clog_at(&c->log, c->applied + 1);
+    while (c->applied_index < c->commit_index) {
+        const struct rec_log_entry *e = clog_at(&c->log, c->applied_index + 1);
 
-        c->applied++;
-        c->bytes_since += e->data != NULL ? e->data->size : 0;
+        c->applied_index++;
+        c->bytes_since_snapshot += e->data != NULL ? e->data->size : 0;
         apply_entry(c, e);
     }
-    if ((c->role == CONTROL_LEADER && c->applied >= c->first_of_term) ||
-        (c->serve_index > 0 && c->applied >= c->serve_index) ||
+    if ((c->role == CONTROL_LEADER &&
+         c->applied_index >= c->term_start_index) ||
+        (c->startup_read_index > 0 &&
+         c->applied_index >= c->startup_read_index) ||
         c->opts.breaks[CONTROL_BREAK_SERVE_AFTER_RESTART]) {
         c->serving = true;
     }
@@ -117,10 +120,10 @@
 }
 
 void
-apply_saved(struct control *c)
+apply_compact_log(struct control *c)
 {
-    if (c->snapshot_seq <= c->saved &&
-        c->snapshot_index > c->log.base + c->opts.trail) {
-        clog_drop(&c->log, c->snapshot_index - c->opts.trail);
+    if (c->snapshot_sync_seq <= c->synced_seq &&
+        c->snapshot_index > c->log.base + c->opts.log_tail_entries) {
+        clog_drop(&c->log, c->snapshot_index - c->opts.log_tail_entries);
     }
 }
--- a/src/control.c
+++ b/src/control.c
@@ -16,18 +16,18 @@
 {
     return (struct control_options){
         .seed = 1,
-        .election_us = 2 * USEC_PER_SEC,
-        .heartbeat_us = 500 * USEC_PER_MSEC,
-        .poll_us = 4 * USEC_PER_SEC,
-        .follower_us = 60 * USEC_PER_SEC,
-        .request_us = 10 * USEC_PER_SEC,
-        .stop_us = 5 * USEC_PER_SEC,
-        .gone_us = 3500 * USEC_PER_MSEC,
+        .election_timeout_us = 2 * USEC_PER_SEC,
+        .heartbeat_interval_us = 500 * USEC_PER_MSEC,
+        .poll_timeout_us = 4 * USEC_PER_SEC,
+        .follower_timeout_us = 60 * USEC_PER_SEC,
+        .request_timeout_us = 10 * USEC_PER_SEC,
+        .stop_timeout_us = 5 * USEC_PER_SEC,
+        .remove_timeout_us = 3500 * USEC_PER_MSEC,
         .snapshot_entries = 256,
         .snapshot_bytes = (size_t)8 << 20,
-        .trail = 64,
-        .chunk = (size_t)64 << 10,
-        .batch = (size_t)256 << 10,
+        .log_tail_entries = 64,
+        .snapshot_chunk_bytes = (size_t)64 << 10,
+        .append_batch_bytes = (size_t)256 << 10,
         .limits = {.publications = 4096,
                    .texts = 16,
                    .text_bytes = (size_t)8 << 20},
@@ -78,9 +78,9 @@
 }
 
 uint64_t
-control_next_seq(const struct control *c)
+control_next_sync_seq(const struct control *c)
 {
-    return c->seq + 1;
+    return c->sync_seq + 1;
 }
 
 static void
@@ -100,21 +100,22 @@
 void
 control_send(struct control *c, struct name to, struct msg *m, uint64_t seq)
 {
-    struct held_message *held;
+    struct deferred_message *held;
 
-    if (seq <= c->saved || c->opts.breaks[CONTROL_BREAK_ACK_BEFORE_SYNC]) {
+    if (seq <= c->synced_seq ||
+        c->opts.breaks[CONTROL_BREAK_ACK_BEFORE_SYNC]) {
         send_now(c, to, m);
         return;
     }
-    held = realloc(c->held, (c->n_held + 1) * sizeof(*held));
+    held = realloc(c->deferred, (c->n_deferred + 1) * sizeof(*held));
     if (held == NULL) {
         abort();
     }
-    c->held = held;
-    c->held[c->n_held].seq = seq;
-    c->held[c->n_held].to = to;
-    c->held[c->n_held].msg = *m;
-    c->n_held++;
+    c->deferred = held;
+    c->deferred[c->n_deferred].sync_seq = seq;
+    c->deferred[c->n_deferred].to = to;
+    c->deferred[c->n_deferred].msg = *m;
+    c->n_deferred++;
     memset(m, 0, sizeof(*m));
 }
 
@@ -123,15 +124,15 @@
 {
     size_t kept = 0;
 
-    for (size_t i = 0; i < c->n_held; i++) {
-        if (c->held[i].seq <= c->saved) {
-            send_now(c, c->held[i].to, &c->held[i].msg);
+    for (size_t i = 0; i < c->n_deferred; i++) {
+        if (c->deferred[i].sync_seq <= c->synced_seq) {
+            send_now(c, c->deferred[i].to, &c->deferred[i].msg);
         }
         else {
-            c->held[kept++] = c->held[i];
+            c->deferred[kept++] = c->deferred[i];
         }
     }
-    c->n_held = kept;
+    c->n_deferred = kept;
 }
 
 void
@@ -143,8 +144,8 @@
     c->vote = vote;
     v->term = term;
     v->vote = vote;
-    c->hard_seq = control_next_seq(c);
-    c->dirty = true;
+    c->hard_state_seq = control_next_sync_seq(c);
+    c->needs_sync = true;
 }
 
 static void
@@ -175,8 +176,8 @@
     c->snapshot = blob_ref(found->snapshot);
     c->snapshot_index = index;
     c->snapshot_term = term;
-    c->commit = index;
-    c->applied = index;
+    c->commit_index = index;
+    c->applied_index = index;
     return true;
 }
 
@@ -204,7 +205,7 @@
         c->term = clog_last_term(&c->log);
         c->vote = name_of("");
     }
-    quorum_recall_members(c);
+    quorum_reload_members(c);
     return c;
 }
 
@@ -217,10 +218,10 @@
     for (size_t i = 0; i < PEERS_MAX; i++) {
         blob_unref(c->peers[i].snapshot);
     }
-    for (size_t i = 0; i < c->n_held; i++) {
-        msg_free(&c->held[i].msg);
+    for (size_t i = 0; i < c->n_deferred; i++) {
+        msg_free(&c->deferred[i].msg);
     }
-    free(c->held);
+    free(c->deferred);
     free(c->pending);
     free(c->followers);
     served_texts_free(&c->served);
@@ -235,12 +236,12 @@
 static bool
 is_member(const struct control *c, struct name from)
 {
-    for (size_t i = 0; i < c->opts.n_known; i++) {
-        if (name_equal(c->opts.known[i], from)) {
+    for (size_t i = 0; i < c->opts.n_configured; i++) {
+        if (name_equal(c->opts.configured[i], from)) {
             return true;
         }
     }
-    return quorum_member(c, from) != NULL || enroll_knows(c, from);
+    return quorum_find_member(c, from) != NULL || enroll_is_contact(c, from);
 }
 
 /* The term a message claims; 0 where it has none. */
@@ -288,7 +289,7 @@
         election_on_vote(c, from, &m->u.vote);
         break;
     case MSG_VOTE_REPLY:
-        election_on_reply(c, from, &m->u.vote_reply);
+        election_on_vote_reply(c, from, &m->u.vote_reply);
         break;
     case MSG_HAND_OVER:
         election_on_hand_over(c, from, &m->u.hand_over);
@@ -297,7 +298,7 @@
         receive_append(c, from, &m->u.append);
         break;
     case MSG_APPEND_REPLY:
-        replicate_on_reply(c, from, &m->u.append_reply);
+        replicate_on_append_reply(c, from, &m->u.append_reply);
         break;
     case MSG_SNAPSHOT:
         receive_snapshot(c, from, &m->u.snapshot);
@@ -357,15 +358,15 @@
 static void
 on_saved(struct control *c, uint64_t seq)
 {
-    if (seq <= c->saved) {
+    if (seq <= c->synced_seq) {
         return;
     }
-    c->saved = seq;
+    c->synced_seq = seq;
     clog_saved(&c->log, seq);
     release_held(c);
-    election_count(c);
-    replicate_advance(c);
-    apply_saved(c);
+    election_count_votes(c);
+    replicate_advance_commit(c);
+    apply_compact_log(c);
 }
 
 static struct progress *
@@ -376,9 +377,9 @@
     for (size_t i = 0; i < PEERS_MAX; i++) {
         struct progress *p = &c->peers[i];
 
-        if (quorum_counts(c, p) &&
-            p->heard_us + c->opts.election_us > c->now.mono_us &&
-            (best == NULL || p->match > best->match)) {
+        if (quorum_peer_is_voter(c, p) &&
+            p->last_heard_us + c->opts.election_timeout_us > c->now.mono_us &&
+            (best == NULL || p->match_index > best->match_index)) {
             best = p;
         }
     }
@@ -393,11 +394,11 @@
     struct progress *p = successor(c);
     struct msg m = {.kind = MSG_HAND_OVER};
 
-    if (p == NULL || p->match < clog_last(&c->log)) {
+    if (p == NULL || p->match_index < clog_last(&c->log)) {
         return;
     }
     m.u.hand_over.term = c->term;
-    control_send(c, p->name, &m, c->hard_seq);
+    control_send(c, p->name, &m, c->hard_state_seq);
     control_log(c, LOG_NOTICE, CONTROL_REASON_HANDED_OVER, p->name,
                 "term %llu", (unsigned long long)c->term);
 }
@@ -405,13 +406,14 @@
 static void
 leave_lead(struct control *c)
 {
-    bool late = c->now.mono_us + c->opts.heartbeat_us >= c->stop_deadline_us;
+    bool late =
+        c->now.mono_us + c->opts.heartbeat_interval_us >= c->stop_deadline_us;
 
-    if (c->stopping && (!serve_busy(c) || late)) {
+    if (c->stopping && (!serve_has_pending_entry(c) || late)) {
         hand_over(c);
     }
-    else if (c->handing_over) {
-        c->handing_over = false;
+    else if (c->transfer_requested) {
+        c->transfer_requested = false;
         hand_over(c);
     }
 }
@@ -419,15 +421,15 @@
 static void
 check_quorum(struct control *c)
 {
-    if (c->now.mono_us < c->quorum_us) {
+    if (c->now.mono_us < c->quorum_check_us) {
         return;
     }
-    c->quorum_us = c->now.mono_us + c->opts.election_us;
-    if (!quorum_heard(c, c->now.mono_us - c->opts.election_us)) {
+    c->quorum_check_us = c->now.mono_us + c->opts.election_timeout_us;
+    if (!quorum_is_active(c, c->now.mono_us - c->opts.election_timeout_us)) {
         control_log(c, LOG_WARNING, CONTROL_REASON_NO_QUORUM, c->opts.self,
                     "no majority in %lld ms",
-                    (long long)(c->opts.election_us / USEC_PER_MSEC));
-        election_follow(c, c->term, name_of(""));
+                    (long long)(c->opts.election_timeout_us / USEC_PER_MSEC));
+        election_become_follower(c, c->term, name_of(""));
     }
 }
 
@@ -435,10 +437,10 @@
 on_tick(struct control *c)
 {
     election_tick(c);
-    if (c->now.mono_us < c->heartbeat_us) {
+    if (c->now.mono_us < c->heartbeat_due_us) {
         return;
     }
-    c->heartbeat_us = c->now.mono_us + c->opts.heartbeat_us;
+    c->heartbeat_due_us = c->now.mono_us + c->opts.heartbeat_interval_us;
     if (c->role == CONTROL_LEADER) {
         check_quorum(c);
     }
@@ -459,7 +461,7 @@
         return;
     }
     c->stopping = true;
-    c->stop_deadline_us = c->now.mono_us + c->opts.stop_us;
+    c->stop_deadline_us = c->now.mono_us + c->opts.stop_timeout_us;
     control_log(c, LOG_NOTICE, CONTROL_REASON_STOPPING, c->opts.self, "%s",
                 c->role == CONTROL_LEADER ? "leading" : "not leading");
     if (c->role == CONTROL_LEADER) {
@@ -471,13 +473,13 @@
 tell_stopped(struct control *c)
 {
     bool leads = c->role == CONTROL_LEADER && successor(c) != NULL;
-    bool done = !leads && !serve_busy(c);
+    bool done = !leads && !serve_has_pending_entry(c);
 
-    if (!c->stopping || c->stopped_told ||
+    if (!c->stopping || c->stop_reported ||
         (!done && c->now.mono_us < c->stop_deadline_us)) {
         return;
     }
-    c->stopped_told = true;
+    c->stop_reported = true;
     (void)control_effects_add(c->fx, CE_STOPPED);
 }
 
@@ -504,10 +506,10 @@
         serve_read(c, &ev->u.read);
         break;
     case CEV_GONE:
-        serve_gone(c, ev->u.gone.request);
+        serve_disconnect(c, ev->u.gone.request);
         break;
     case CEV_CONTACT:
-        enroll_contact(c, ev->u.contact.name);
+        enroll_add_contact(c, ev->u.contact.name);
         break;
     case CEV_STOP:
         begin_stop(c);
@@ -530,16 +532,16 @@
 start(struct control *c)
 {
     c->started = true;
-    c->heard_leader_us = c->now.mono_us;
-    c->heartbeat_us = c->now.mono_us;
-    election_restart_timer(c);
-    if (c->opts.first_us > 0) {
-        election_first_timer(c);
+    c->leader_heard_us = c->now.mono_us;
+    c->heartbeat_due_us = c->now.mono_us;
+    election_reset_timer(c);
+    if (c->opts.startup_timeout_us > 0) {
+        election_reset_startup_timer(c);
         /* It has heard nobody in this life; to wait as if it had would only
          * hold up the first election.  Reads rest on no such wait. */
-        c->heard_leader_us -= c->opts.election_us;
+        c->leader_heard_us -= c->opts.election_timeout_us;
     }
-    c->serve_nonce = control_random(c);
+    c->startup_nonce = control_random(c);
     control_log(c, LOG_NOTICE, CONTROL_REASON_STARTED, c->opts.self,
                 "term %llu, log %llu to %llu, version %llu",
                 (unsigned long long)c->term, (unsigned long long)c->log.base,
@@ -554,32 +556,32 @@
 {
     c->now = ev->now;
     c->fx = fx;
-    c->dirty = false;
+    c->needs_sync = false;
     if (!c->started) {
         start(c);
     }
     route(c, ev);
     apply_committed(c);
-    serve_reads(c);
-    followers_serve(c);
+    serve_pending(c);
+    followers_answer_polls(c);
     tell_stopped(c);
-    if (c->dirty) {
-        c->seq++;
+    if (c->needs_sync) {
+        c->sync_seq++;
         c->counters.syncs++;
-        control_effects_add(fx, CE_SYNC)->u.sync.seq = c->seq;
+        control_effects_add(fx, CE_SYNC)->u.sync.seq = c->sync_seq;
     }
     c->fx = NULL;
 }
 
 int64_t
-control_next_us(const struct control *c)
+control_next_tick_us(const struct control *c)
 {
-    bool campaigns = c->role != CONTROL_LEADER && quorum_self_votes(c);
+    bool campaigns = c->role != CONTROL_LEADER && quorum_self_is_voter(c);
 
-    if (campaigns && c->election_us < c->heartbeat_us) {
-        return c->election_us;
+    if (campaigns && c->election_due_us < c->heartbeat_due_us) {
+        return c->election_due_us;
     }
-    return c->heartbeat_us;
+    return c->heartbeat_due_us;
 }
 
 struct control_view
@@ -587,13 +589,13 @@
 {
     return (struct control_view){
         .role = c->role,
-        .voter = quorum_self_votes(c),
+        .voter = quorum_self_is_voter(c),
         .leader = c->leader,
         .term = c->term,
-        .base = c->log.base,
-        .last = clog_last(&c->log),
-        .commit = c->commit,
-        .applied = c->applied,
+        .log_base = c->log.base,
+        .last_index = clog_last(&c->log),
+        .commit_index = c->commit_index,
+        .applied_index = c->applied_index,
         .version = c->fsm.version,
         .log_bytes = c->log.bytes,
         .state_bytes =
@@ -601,7 +603,7 @@
         .followers = c->n_followers,
         .serving = c->serving,
         .counters = c->counters,
-        .publish = c->publish,
+        .publish_latency = c->publish_latency,
     };
 }
 
--- a/src/control.h
+++ b/src/control.h
@@ -49,30 +49,31 @@
  * @zone: told to followers; may be empty
  * @disk: identity of its data folder; it votes only where the members say that
  *        this is the folder of @self
- * @known: members of the settings; besides those of the log, only they are
- *         listened to as members
- * @n_known: of @known, at most CONTROL_MEMBERS_MAX
+ * @configured: members of the settings; besides those of the log, only they
+ * are listened to as members
+ * @n_configured: of @configured, at most CONTROL_MEMBERS_MAX
  * @seed: for election times; differs at each start
- * @election_us: silence after which a follower campaigns, up to twice that;
- *               a leader that hears no quorum for so long steps down
- * @first_us: a member that starts campaigns after so long without a leader, up
- *            to twice that, and asks again after the same until it has met
+ * @election_timeout_us: silence after which a follower campaigns, up to twice
+ * that; a leader that hears no quorum for so long steps down
+ * @startup_timeout_us: a member that starts campaigns after so long without a
+ * leader, up to twice that, and asks again after the same until it has met
  * one; 0: like any other.  Where a leader is there, the question before the
  * campaign finds that out.
- * @heartbeat_us: between heartbeats
- * @poll_us: a long poll is answered after this at the latest
- * @follower_us: a follower not heard for so long is forgotten
- * @request_us: a publication not committed by then is answered as unknown
- * @stop_us: a planned stop takes no longer
+ * @heartbeat_interval_us: between heartbeats
+ * @poll_timeout_us: a long poll is answered after this at the latest
+ * @follower_timeout_us: a follower not heard for so long is forgotten
+ * @request_timeout_us: a publication not committed by then is answered as
+ * unknown
+ * @stop_timeout_us: a planned stop takes no longer
  * @enroll: members come and go by themselves, see enroll.c; else by CHANGE
  * @address: with @enroll, where other members reach this one
  * @http: with @enroll, where operators reach it
- * @gone_us: with @enroll, a member silent for so long may be removed
+ * @remove_timeout_us: with @enroll, a member silent for so long may be removed
  * @snapshot_entries: entries applied since the last snapshot that make one
  * @snapshot_bytes: or their bytes
- * @trail: entries kept in memory behind a snapshot for slow members
- * @chunk: bytes of a snapshot in one message
- * @batch: bytes of entries in one message
+ * @log_tail_entries: entries kept in memory behind a snapshot for slow members
+ * @snapshot_chunk_bytes: bytes of a snapshot in one message
+ * @append_batch_bytes: bytes of entries in one message
  * @render: what followers get of a published text; NULL: the text itself
  * @limits: what is kept of the history
  */
@@ -80,25 +81,25 @@
     struct name self;
     struct name zone;
     uint64_t disk;
-    struct name known[CONTROL_MEMBERS_MAX];
-    size_t n_known;
+    struct name configured[CONTROL_MEMBERS_MAX];
+    size_t n_configured;
     uint64_t seed;
-    int64_t election_us;
-    int64_t first_us;
-    int64_t heartbeat_us;
-    int64_t poll_us;
-    int64_t follower_us;
-    int64_t request_us;
-    int64_t stop_us;
+    int64_t election_timeout_us;
+    int64_t startup_timeout_us;
+    int64_t heartbeat_interval_us;
+    int64_t poll_timeout_us;
+    int64_t follower_timeout_us;
+    int64_t request_timeout_us;
+    int64_t stop_timeout_us;
     bool enroll;
     struct address address;
     struct address http;
-    int64_t gone_us;
+    int64_t remove_timeout_us;
     uint32_t snapshot_entries;
     size_t snapshot_bytes;
-    uint32_t trail;
-    size_t chunk;
-    size_t batch;
+    uint32_t log_tail_entries;
+    size_t snapshot_chunk_bytes;
+    size_t append_batch_bytes;
     control_render *render;
     struct fsm_limits limits;
     bool breaks[CONTROL_BREAKS];
@@ -115,13 +116,13 @@
 struct blob *control_founding_state(const struct rec_membership *m);
 
 /**
- * struct control_recovered - where a member begins anew
+ * struct control_recovery - where a member begins anew
  * @index: of the snapshot, above all that the disk held
  * @term: of it, likewise
  * @state: the snapshot; owned
  * @version: that its text has from now on
  */
-struct control_recovered {
+struct control_recovery {
     uint64_t index;
     uint64_t term;
     struct blob *state;
@@ -133,7 +134,7 @@
  * only member is @self; false when the snapshot cannot be read */
 bool control_recover(const struct storage_found *found,
                      const struct rec_control_member *self, uint64_t time_us,
-                     struct control_recovered *out);
+                     struct control_recovery *out);
 
 enum { CONTROL_FOUNDING_INDEX = 1, CONTROL_FOUNDING_TERM = 1 };
 
@@ -149,8 +150,8 @@
 void control_step(struct control *c, const struct control_event *ev,
                   struct control_effects *fx);
 
-/** control_next_us() - monotonic time at which a TICK is due */
-int64_t control_next_us(const struct control *c);
+/** control_next_tick_us() - monotonic time at which a TICK is due */
+int64_t control_next_tick_us(const struct control *c);
 
 enum control_role { CONTROL_FOLLOWER, CONTROL_CANDIDATE, CONTROL_LEADER };
 
@@ -179,15 +180,16 @@
 
 /** struct control_view - what can be seen of a member */
 struct control_view {
-    struct histogram publish; /* from an operator's change to its answer */
+    struct histogram
+        publish_latency; /* from an operator's change to its answer */
     enum control_role role;
     bool voter;
     struct name leader; /* empty: not known */
     uint64_t term;
-    uint64_t base; /* index before the log in memory */
-    uint64_t last;
-    uint64_t commit;
-    uint64_t applied;
+    uint64_t log_base; /* index before the log in memory */
+    uint64_t last_index;
+    uint64_t commit_index;
+    uint64_t applied_index;
     uint64_t version;
     uint64_t log_bytes;
     uint64_t state_bytes;
--- a/src/control_disk.c
+++ b/src/control_disk.c
@@ -29,7 +29,7 @@
 {
     switch (f->kind) {
     case CE_APPEND:
-        return storage_append(s, f->u.append.entries, f->u.append.n);
+        return storage_append(s, f->u.append.entries, f->u.append.n_entries);
     case CE_TRUNCATE:
         return storage_truncate(s, f->u.truncate.index);
     case CE_SAVE_VOTE:
--- a/src/control_dump.c
+++ b/src/control_dump.c
@@ -8,7 +8,7 @@
 static const char *
 role_text(const struct control *c)
 {
-    if (!quorum_self_votes(c)) {
+    if (!quorum_self_is_voter(c)) {
         return "learner";
     }
     switch (c->role) {
@@ -76,17 +76,17 @@
     bool self = name_equal(m->name, c->opts.self);
     bool up = self;
     bool other = self && m->voter != 0 && m->disk != c->opts.disk;
-    int64_t limit = c->now.mono_us - c->opts.election_us;
+    int64_t limit = c->now.mono_us - c->opts.election_timeout_us;
 
     if (self) {
         json_object_set_new(o, "match", number(c->log.durable));
         json_object_set_new(o, "heard_ms", json_integer(0));
     }
     else if (p != NULL && c->role == CONTROL_LEADER) {
-        up = p->heard_us >= limit && p->heard_us > 0;
+        up = p->last_heard_us >= limit && p->last_heard_us > 0;
         other = m->voter != 0 && p->disk != 0 && p->disk != m->disk;
-        json_object_set_new(o, "match", number(p->match));
-        json_object_set_new(o, "heard_ms", age_ms(c, p->heard_us));
+        json_object_set_new(o, "match", number(p->match_index));
+        json_object_set_new(o, "heard_ms", age_ms(c, p->last_heard_us));
     }
     else {
         json_object_set_new(o, "match", json_null());
@@ -131,8 +131,8 @@
         json_object_set_new(o, "zone", json_string(f->info.zone.s));
         json_object_set_new(o, "incarnation", number(f->info.incarnation));
         json_object_set_new(o, "version", number(f->info.version));
-        json_object_set_new(o, "heard_ms", age_ms(c, f->heard_us));
-        json_object_set_new(o, "via", json_string(f->via.s));
+        json_object_set_new(o, "heard_ms", age_ms(c, f->last_heard_us));
+        json_object_set_new(o, "via", json_string(f->via_member.s));
         json_object_set_new(o, "lags",
                             json_boolean(f->info.version < c->fsm.version));
         json_array_append_new(list, o);
@@ -150,8 +150,8 @@
     json_object_set_new(o, "leader", json_string(c->leader.s));
     json_object_set_new(o, "term", number(c->term));
     json_object_set_new(o, "last", number(clog_last(&c->log)));
-    json_object_set_new(o, "commit", number(c->commit));
-    json_object_set_new(o, "applied", number(c->applied));
+    json_object_set_new(o, "commit", number(c->commit_index));
+    json_object_set_new(o, "applied", number(c->applied_index));
     json_object_set_new(o, "version", number(c->fsm.version));
     json_object_set_new(o, "members", members_json(c));
     json_object_set_new(o, "followers", followers_json(c));
@@ -182,7 +182,8 @@
         json_object_set_new(o, "summary", blob_text(p->summary));
         json_object_set_new(o, "bytes", number(p->bytes));
         json_object_set_new(
-            o, "kept", json_boolean(fsm_text(&c->fsm, p->version) != NULL));
+            o, "kept",
+            json_boolean(fsm_version_text(&c->fsm, p->version) != NULL));
         json_array_append_new(list, o);
     }
     json_object_set_new(root, "version", number(c->fsm.version));
@@ -202,7 +203,7 @@
     json_object_set_new(o, "durable", number(c->log.durable));
     json_object_set_new(o, "snapshot_index", number(c->snapshot_index));
     json_object_set_new(o, "state_bytes", number(fsm_bytes(&c->fsm)));
-    json_object_set_new(o, "held_messages", number(c->n_held));
+    json_object_set_new(o, "held_messages", number(c->n_deferred));
     json_object_set_new(o, "waiting_requests", number(c->n_pending));
     json_object_set_new(o, "serving", json_boolean(c->serving));
     json_object_set_new(o, "stopping", json_boolean(c->stopping));
--- a/src/control_effect.c
+++ b/src/control_effect.c
@@ -10,7 +10,7 @@
 {
     struct control_effect *f;
 
-    fx->items = array_grow(fx->items, fx->n, &fx->room, sizeof(*f));
+    fx->items = array_grow(fx->items, fx->n, &fx->capacity, sizeof(*f));
     f = &fx->items[fx->n++];
     memset(f, 0, sizeof(*f));
     f->kind = kind;
@@ -22,7 +22,7 @@
 {
     switch (f->kind) {
     case CE_APPEND:
-        for (size_t i = 0; i < f->u.append.n; i++) {
+        for (size_t i = 0; i < f->u.append.n_entries; i++) {
             blob_unref(f->u.append.entries[i].data);
         }
         free(f->u.append.entries);
@@ -37,7 +37,7 @@
         msg_free(&f->u.send.msg);
         break;
     case CE_REPLY:
-        msg_free(&f->u.reply.of);
+        msg_free(&f->u.reply.publication);
         blob_unref(f->u.reply.config);
         break;
     case CE_TEXT:
@@ -69,7 +69,7 @@
 }
 
 bool
-control_effect_on_disk(enum control_effect_kind kind)
+control_effect_is_disk(enum control_effect_kind kind)
 {
     return kind <= CE_SYNC;
 }
--- a/src/control_effect.h
+++ b/src/control_effect.h
@@ -121,7 +121,7 @@
 
 struct ce_append {
     struct rec_log_entry *entries; /* owned, with a reference per data */
-    size_t n;
+    size_t n_entries;
 };
 
 struct ce_truncate {
@@ -163,8 +163,8 @@
  * @leader: of NOT_LEADER: where operators reach the leader
  * @version: in force
  * @resend: the request id was accepted before
- * @of: the publication accepted, read, or (of TAKEN) the winner; version 0 if
- *      there is none; owned
+ * @publication: the publication accepted, read, or (of TAKEN) the winner;
+ * version 0 if there is none; owned
  * @config: of a read; owned reference
  */
 struct ce_reply {
@@ -174,7 +174,7 @@
     struct address leader;
     uint64_t version;
     bool resend;
-    struct msg of; /* MSG_PUBLICATION */
+    struct msg publication; /* MSG_PUBLICATION */
     struct blob *config;
 };
 
@@ -216,7 +216,7 @@
 struct control_effects {
     struct control_effect *items;
     size_t n;
-    size_t room;
+    size_t capacity;
 };
 
 /** control_effects_add() - appends a zeroed effect; the pointer holds until
@@ -233,7 +233,7 @@
 /** control_effects_free() - control_effects_clear() and the list itself */
 void control_effects_free(struct control_effects *fx);
 
-/** control_effect_on_disk() - whether the disk's thread carries it out */
-bool control_effect_on_disk(enum control_effect_kind kind);
+/** control_effect_is_disk() - whether the disk's thread carries it out */
+bool control_effect_is_disk(enum control_effect_kind kind);
 
 #endif
--- a/src/control_event.h
+++ b/src/control_event.h
@@ -34,8 +34,8 @@
 /** enum change_action - what to do with a member */
 enum change_action { CHANGE_ADD, CHANGE_REMOVE, CHANGE_REPLACE };
 
-/** enum read_what - what a read is after */
-enum read_what { READ_CONFIG, READ_HISTORY, READ_STATUS, READ_STATE };
+/** enum read_kind - what a read is after */
+enum read_kind { READ_CONFIG, READ_HISTORY, READ_STATUS, READ_STATE };
 
 struct cev_message {
     struct name from;
@@ -66,13 +66,13 @@
 
 struct cev_read {
     uint64_t request;
-    enum read_what what;
+    enum read_kind kind;
     uint64_t version; /* of READ_CONFIG; 0 is the newest */
     uint32_t limit;   /* of READ_HISTORY */
     bool local;       /* as this member knows it, at once */
 };
 
-struct cev_gone {
+struct cev_disconnect {
     uint64_t request;
 };
 
@@ -90,7 +90,7 @@
         struct cev_publish publish;
         struct cev_change change;
         struct cev_read read;
-        struct cev_gone gone;
+        struct cev_disconnect gone;
         struct cev_contact contact;
     } u;
 };
--- a/src/control_http.c
+++ b/src/control_http.c
@@ -56,8 +56,8 @@
         free(out->body);
         return MHD_NO;
     }
-    (void)MHD_add_response_header(response, "Content-Type", out->type);
-    if (out->retry) {
+    (void)MHD_add_response_header(response, "Content-Type", out->content_type);
+    if (out->retry_after) {
         (void)MHD_add_response_header(response, "Retry-After", "1");
     }
     if (out->location[0] != '\0') {
@@ -73,12 +73,12 @@
 queue_refusal(struct request *r, enum control_result result,
               const char *detail)
 {
-    struct control_refusal why = {.result = result};
+    struct control_rejection why = {.result = result};
     struct control_response out;
 
     (void)snprintf(why.detail, sizeof(why.detail), "%s", detail);
     stats_add(&stats.http_refused, 1);
-    out = control_response_refusal(&why);
+    out = control_response_rejection(&why);
     return queue(r, &out);
 }
 
@@ -135,7 +135,7 @@
     (void)atomic_fetch_add(&h->server.in_progress, 1);
     stats_add(&stats.http_requests, 1);
     r->connection = connection;
-    r->route = control_route_of(method, url);
+    r->route = control_route_find(method, url);
     r->query.limit = LIMIT_DEFAULT;
     (void)snprintf(r->path, sizeof(r->path), "%s", url);
     (void)MHD_get_connection_values(connection, MHD_GET_ARGUMENT_KIND,
@@ -155,7 +155,7 @@
     size_t room = r->room > 0 ? r->room : BODY_START;
     char *body;
 
-    if (!control_route_changes(r->route) || r->size + *n > BODY_MAX) {
+    if (!control_route_is_write(r->route) || r->size + *n > BODY_MAX) {
         r->too_large = true; /* read on, and refused at the end */
         *n = 0;
         return MHD_YES;
@@ -200,7 +200,7 @@
     };
     enum opauth_result result;
 
-    if (!control_route_changes(r->route)) {
+    if (!control_route_is_write(r->route)) {
         return OPAUTH_OK;
     }
     result = opauth_check(h->opts.auth, &signed_request, &headers,
@@ -226,7 +226,7 @@
     bool healthy = h->opts.healthy(h->opts.ctx);
     struct control_response out = {
         .status = healthy ? 200 : 503,
-        .type = "application/json",
+        .content_type = "application/json",
         .body = strdup(healthy ? "{\"status\":\"ok\"}\n"
                                : "{\"status\":\"unavailable\"}\n"),
     };
@@ -237,15 +237,15 @@
 static enum MHD_Result
 offer(struct control_http *h, struct request *r, struct name publisher)
 {
-    struct control_refusal why = {0};
+    struct control_rejection why = {0};
     uint64_t id = httpserver_wait(&h->server, &r->wait, r);
     struct control_mail *m;
 
     if (id == 0) {
         return queue_refusal(r, CONTROL_NO_LEADER, "this member is stopping");
     }
-    m = control_request_mail(r->route, &r->query, publisher, r->body, r->size,
-                             id, &why);
+    m = control_request_parse(r->route, &r->query, publisher, r->body, r->size,
+                              id, &why);
     if (m == NULL) {
         (void)httpserver_take(&h->server, id);
         return queue_refusal(r, why.result, why.detail);
@@ -296,8 +296,8 @@
         return begin(h, connection, url, method, ctx);
     }
     if (r->replied) {
-        struct control_response out =
-            control_response_of(r->route, &r->reply, r->path, r->query_text);
+        struct control_response out = control_response_from_effect(
+            r->route, &r->reply, r->path, r->query_text);
 
         return queue(r, &out);
     }
--- a/src/control_recover.c
+++ b/src/control_recover.c
@@ -18,7 +18,7 @@
 }
 
 static void
-find_end(const struct storage_found *found, struct control_recovered *out)
+find_end(const struct storage_found *found, struct control_recovery *out)
 {
     uint64_t term = found->snapshot_term;
 
@@ -32,7 +32,7 @@
 bool
 control_recover(const struct storage_found *found,
                 const struct rec_control_member *self, uint64_t time_us,
-                struct control_recovered *out)
+                struct control_recovery *out)
 {
     struct rec_control_member member = *self;
     struct rec_membership members = {&member, 1};
--- a/src/control_request.c
+++ b/src/control_request.c
@@ -18,7 +18,7 @@
 };
 
 enum control_route
-control_route_of(const char *method, const char *path)
+control_route_find(const char *method, const char *path)
 {
     enum control_route found = CONTROL_ROUTE_NONE;
 
@@ -35,13 +35,13 @@
 }
 
 bool
-control_route_changes(enum control_route route)
+control_route_is_write(enum control_route route)
 {
     return route == CONTROL_ROUTE_PUBLISH || route == CONTROL_ROUTE_CHANGE;
 }
 
 static void
-refuse(struct control_refusal *why, enum control_result result,
+refuse(struct control_rejection *why, enum control_result result,
        const char *detail)
 {
     why->result = result;
@@ -50,7 +50,8 @@
 
 /* Requests. */
 static struct control_mail *
-publish_mail(json_t *root, struct name publisher, struct control_refusal *why)
+publish_mail(json_t *root, struct name publisher,
+             struct control_rejection *why)
 {
     struct control_mail *m = control_mail_new(CEV_PUBLISH);
     struct cev_publish *p = &m->event.u.publish;
@@ -112,7 +113,7 @@
 }
 
 static struct control_mail *
-change_mail(json_t *root, struct control_refusal *why)
+change_mail(json_t *root, struct control_rejection *why)
 {
     struct control_mail *m;
     struct cev_change *c;
@@ -147,7 +148,7 @@
 
 static struct control_mail *
 body_mail(enum control_route route, struct name publisher, const char *body,
-          size_t size, struct control_refusal *why)
+          size_t size, struct control_rejection *why)
 {
     json_error_t error;
     json_t *root = json_loadb(body, size, JSON_REJECT_DUPLICATES, &error);
@@ -175,7 +176,7 @@
 
     m->kind = route == CONTROL_ROUTE_METRICS ? CONTROL_MAIL_METRICS
                                              : CONTROL_MAIL_EVENT;
-    r->what = route == CONTROL_ROUTE_CONFIG    ? READ_CONFIG
+    r->kind = route == CONTROL_ROUTE_CONFIG    ? READ_CONFIG
               : route == CONTROL_ROUTE_HISTORY ? READ_HISTORY
               : route == CONTROL_ROUTE_STATUS  ? READ_STATUS
                                                : READ_STATE;
@@ -186,14 +187,14 @@
 }
 
 struct control_mail *
-control_request_mail(enum control_route route,
-                     const struct control_query *query, struct name publisher,
-                     const char *body, size_t size, uint64_t id,
-                     struct control_refusal *why)
+control_request_parse(enum control_route route,
+                      const struct control_query *query, struct name publisher,
+                      const char *body, size_t size, uint64_t id,
+                      struct control_rejection *why)
 {
     struct control_mail *m;
 
-    if (!control_route_changes(route)) {
+    if (!control_route_is_write(route)) {
         m = read_mail(route, query);
         m->event.u.read.request = id;
         return m;
@@ -236,10 +237,10 @@
 static void
 add_winner(json_t *o, const struct ce_reply *r)
 {
-    const struct rec_publication *p = &r->of.u.publication;
+    const struct rec_publication *p = &r->publication.u.publication;
 
     json_object_set_new(o, "version", json_integer((json_int_t)r->version));
-    if (r->of.kind != MSG_PUBLICATION) {
+    if (r->publication.kind != MSG_PUBLICATION) {
         return;
     }
     json_object_set_new(
@@ -252,7 +253,7 @@
 static json_t *
 published_json(const struct ce_reply *r)
 {
-    const struct rec_publication *p = &r->of.u.publication;
+    const struct rec_publication *p = &r->publication.u.publication;
 
     return json_pack("{s:I, s:o, s:I, s:b}", "version", (json_int_t)p->version,
                      "operator", jsontext_lenient(p->publisher.s), "time_us",
@@ -262,9 +263,9 @@
 static json_t *
 config_json(const struct ce_reply *r)
 {
-    const struct rec_publication *p = &r->of.u.publication;
+    const struct rec_publication *p = &r->publication.u.publication;
 
-    if (r->of.kind != MSG_PUBLICATION) {
+    if (r->publication.kind != MSG_PUBLICATION) {
         return json_pack("{s:i, s:s}", "version", 0, "config", "");
     }
     return json_pack(
@@ -299,7 +300,7 @@
 static struct control_response
 response(int status, const char *type, json_t *body)
 {
-    struct control_response r = {.status = status, .type = type};
+    struct control_response r = {.status = status, .content_type = type};
 
     r.body = body != NULL ? json_dumps(body, JSON_COMPACT) : NULL;
     json_decref(body);
@@ -314,21 +315,23 @@
 }
 
 struct control_response
-control_response_of(enum control_route route, const struct control_effect *f,
-                    const char *path, const char *query)
+control_response_from_effect(enum control_route route,
+                             const struct control_effect *f, const char *path,
+                             const char *query)
 {
     const struct ce_reply *r = &f->u.reply;
     struct control_response out = {.status = 200};
 
     if (f->kind == CE_TEXT) {
-        out.type = route == CONTROL_ROUTE_METRICS ? "text/plain; version=0.0.4"
-                                                  : "application/json";
+        out.content_type = route == CONTROL_ROUTE_METRICS
+                               ? "text/plain; version=0.0.4"
+                               : "application/json";
         out.body = strdup(f->u.text.json);
         return out;
     }
     out = response(control_result_status(r->result), type_of(r->result),
                    reply_json(route, r));
-    out.retry = out.status == 503;
+    out.retry_after = out.status == 503;
     if (r->result == CONTROL_NOT_LEADER) {
         (void)snprintf(out.location, sizeof(out.location), "http://%s%s%s",
                        r->leader.s, path, query);
@@ -337,7 +340,7 @@
 }
 
 struct control_response
-control_response_refusal(const struct control_refusal *why)
+control_response_rejection(const struct control_rejection *why)
 {
     return response(control_result_status(why->result), type_of(why->result),
                     problem_json(why->result, why->detail));
--- a/src/control_request.h
+++ b/src/control_request.h
@@ -29,11 +29,11 @@
     CONTROL_ROUTE_NONE,
 };
 
-/** control_route_of() - what is asked for */
-enum control_route control_route_of(const char *method, const char *path);
+/** control_route_find() - what is asked for */
+enum control_route control_route_find(const char *method, const char *path);
 
-/** control_route_changes() - whether it must be signed */
-bool control_route_changes(enum control_route route);
+/** control_route_is_write() - whether it must be signed */
+bool control_route_is_write(enum control_route route);
 
 /** struct control_query - of the URL */
 struct control_query {
@@ -42,39 +42,40 @@
     bool local;
 };
 
-/** struct control_refusal - why a request is refused before the reducer */
-struct control_refusal {
+/** struct control_rejection - why a request is refused before the reducer */
+struct control_rejection {
     enum control_result result;
     char detail[DETAIL_SIZE];
 };
 
-/** control_request_mail() - the event of a request, numbered @id; NULL with
+/** control_request_parse() - the event of a request, numbered @id; NULL with
  * @why where the body is wrong */
-struct control_mail *control_request_mail(enum control_route route,
-                                          const struct control_query *query,
-                                          struct name publisher,
-                                          const char *body, size_t size,
-                                          uint64_t id,
-                                          struct control_refusal *why);
+struct control_mail *control_request_parse(enum control_route route,
+                                           const struct control_query *query,
+                                           struct name publisher,
+                                           const char *body, size_t size,
+                                           uint64_t id,
+                                           struct control_rejection *why);
 
 /** struct control_response - what goes out; @body is owned */
 struct control_response {
     int status;
-    const char *type;
+    const char *content_type;
     char *body;
     char location[512];
-    bool retry;
+    bool retry_after;
 };
 
-/** control_response_of() - of CE_REPLY or CE_TEXT; @path and @query (with its
+/** control_response_from_effect() - of CE_REPLY or CE_TEXT; @path and @query
+ * (with its
  * "?", or empty) make the Location of a redirection */
-struct control_response control_response_of(enum control_route route,
-                                            const struct control_effect *f,
-                                            const char *path,
-                                            const char *query);
+struct control_response
+control_response_from_effect(enum control_route route,
+                             const struct control_effect *f, const char *path,
+                             const char *query);
 
-/** control_response_refusal() - a refusal by the shell */
+/** control_response_rejection() - a refusal by the shell */
 struct control_response
-control_response_refusal(const struct control_refusal *why);
+control_response_rejection(const struct control_rejection *why);
 
 #endif
--- a/src/control_runtime.c
+++ b/src/control_runtime.c
@@ -63,7 +63,7 @@
 static void
 carry_out(struct control_runtime *r, struct control_effect *f)
 {
-    if (control_effect_on_disk(f->kind)) {
+    if (control_effect_is_disk(f->kind)) {
         control_disk_post(r->disk, f);
         return;
     }
@@ -148,14 +148,14 @@
 #undef CONTROL_COUNTER
     histogram_print(out, "control_publish",
                     "from a change to its answer, at the leader", "",
-                    &v->publish);
+                    &v->publish_latency);
     stats_print_one(out, "control_leader", "gauge", "this member leads",
                     v->role == CONTROL_LEADER);
     stats_print_one(out, "control_voter", "gauge", "this member has a vote",
                     v->voter);
     stats_print_one(out, "control_term", "gauge", "term", v->term);
     stats_print_one(out, "control_commit", "gauge", "last committed entry",
-                    v->commit);
+                    v->commit_index);
     stats_print_one(out, "control_version", "gauge",
                     "version of the configuration", v->version);
     stats_print_one(out, "control_log_bytes", "gauge", "entries in memory",
@@ -282,7 +282,7 @@
 static int64_t
 next_us(const struct control_runtime *r)
 {
-    int64_t at = control_next_us(r->control);
+    int64_t at = control_next_tick_us(r->control);
 
     if (r->registry != NULL && registry_next_us(r->registry) < at) {
         at = registry_next_us(r->registry);
@@ -461,7 +461,7 @@
 }
 
 static enum storage_error
-save_recovered(struct storage *s, const struct control_recovered *r,
+save_recovered(struct storage *s, const struct control_recovery *r,
                char *detail)
 {
     enum storage_error err = storage_save_vote(s, r->term, name_of(""));
@@ -480,7 +480,7 @@
 {
     struct storage *s = NULL;
     struct storage_found found;
-    struct control_recovered r = {0};
+    struct control_recovery r = {0};
     enum storage_error err = storage_open(opts, &s, &found, detail);
     uint64_t now_us = (uint64_t)clock_now(o->clock).wall_us;
 
@@ -677,7 +677,7 @@
     struct control_mail *m = control_mail_new(CEV_READ);
 
     m->event.u.read.request = STATE_REQUEST_DUMP;
-    m->event.u.read.what = READ_STATE;
+    m->event.u.read.kind = READ_STATE;
     mailbox_post(&r->inbox, &m->mail);
 }
 
--- a/src/control_settings.c
+++ b/src/control_settings.c
@@ -12,17 +12,17 @@
 /* clang-format off */
 #define LIMIT_LIST(LIMIT)                                                     \
     LIMIT("election_ms", "ms", 100, 60000, "2000",                            \
-        control.election_us, USEC_PER_MSEC,                                   \
+        control.election_timeout_us, USEC_PER_MSEC,                                   \
         "silence of the leader after which there is an election")             \
     LIMIT("heartbeat_ms", "ms", 20, 10000, "500",                             \
-        control.heartbeat_us, USEC_PER_MSEC, "between heartbeats")            \
+        control.heartbeat_interval_us, USEC_PER_MSEC, "between heartbeats")            \
     LIMIT("request_ms", "ms", 100, 60000, "10000",                            \
-        control.request_us, USEC_PER_MSEC,                                    \
+        control.request_timeout_us, USEC_PER_MSEC,                                    \
         "a change not committed by then is answered as unknown")              \
     LIMIT("stop_ms", "ms", 0, 60000, "5000",                                  \
-        control.stop_us, USEC_PER_MSEC, "longest planned stop")               \
+        control.stop_timeout_us, USEC_PER_MSEC, "longest planned stop")               \
     LIMIT("follower_s", "s", 5, 86400, "60",                                  \
-        control.follower_us, USEC_PER_SEC,                                    \
+        control.follower_timeout_us, USEC_PER_SEC,                                    \
         "an entry instance not heard for so long is forgotten")               \
     LIMIT("snapshot_entries", "entries", 16, 65536, "256",                    \
         control.snapshot_entries, 1, "applied since the last snapshot")       \
@@ -112,8 +112,8 @@
         s->remotes[p->n_remotes].name = m->name;
         s->remotes[p->n_remotes].address = m->address;
         p->n_remotes++;
-        s->runtime.control.known[i] = m->name;
-        s->runtime.control.n_known = i + 1;
+        s->runtime.control.configured[i] = m->name;
+        s->runtime.control.n_configured = i + 1;
         self = self || name_equal(m->name, s->runtime.control.self);
     }
     s->founding.members = s->founders;
@@ -149,7 +149,7 @@
 {
     const struct control_options *c = &s->runtime.control;
 
-    if (c->election_us < 3 * c->heartbeat_us) {
+    if (c->election_timeout_us < 3 * c->heartbeat_interval_us) {
         settings_add_error(s->file,
                            settings_line(s->file, "limits", "election_ms"),
                            "election_ms must be at least three heartbeat_ms");
@@ -186,7 +186,7 @@
     o->http.listen = address_of(settings_text(f, "control", "listen_http"));
     o->peers.self = o->control.self;
     o->peers.listen = address_of(settings_text(f, "control", "listen_peer"));
-    o->peers.heartbeat_us = o->control.heartbeat_us;
+    o->peers.heartbeat_us = o->control.heartbeat_interval_us;
     o->peers.remotes = s->remotes;
     s->auth_window_us =
         settings_int(f, "control", "auth_window_s") * USEC_PER_SEC;
--- a/src/control_state.h
+++ b/src/control_state.h
@@ -17,71 +17,71 @@
  * struct progress - what is known of another member
  * @name: of it
  * @disk: the data folder it last spoke from; 0 is not known
- * @heard_us: when it last spoke; 0 is never
- * @match: its log agrees and is durable up to here (as the leader knows)
- * @next: index to send next
- * @probing: one message at a time until it agrees
- * @sent_us: when the last probe or chunk went out; 0: none is on its way
- * @round: newest round of heartbeats it answered
- * @granted: it gave its vote in this election
+ * @last_heard_us: when it last spoke; 0 is never
+ * @match_index: its log agrees and is durable up to here (as the leader knows)
+ * @next_index: index to send next
+ * @is_probing: one message at a time until it agrees
+ * @chunk_sent_us: when the last probe or chunk went out; 0: none is on its way
+ * @acked_round: newest round of heartbeats it answered
+ * @vote_granted: it gave its vote in this election
  * @snapshot: being sent, with its position and the next offset
  */
 struct progress {
     struct name name;
     uint64_t disk;
-    int64_t heard_us;
-    uint64_t match;
-    uint64_t next;
-    bool probing;
-    int64_t sent_us;
-    uint64_t round;
-    bool granted;
+    int64_t last_heard_us;
+    uint64_t match_index;
+    uint64_t next_index;
+    bool is_probing;
+    int64_t chunk_sent_us;
+    uint64_t acked_round;
+    bool vote_granted;
     struct blob *snapshot;
     uint64_t snapshot_index;
     uint64_t snapshot_term;
-    uint64_t snapshot_offset;
+    uint64_t next_offset;
 };
 
-/** struct held_message - waits until the disk has what it says */
-struct held_message {
-    uint64_t seq;
+/** struct deferred_message - waits until the disk has what it says */
+struct deferred_message {
+    uint64_t sync_seq;
     struct name to;
     struct msg msg;
 };
 
 enum pending_kind {
-    PENDING_ENTRY, /* a publication or change, decided by its entry */
-    PENDING_READ,  /* an operator's read, decided by a round */
-    PENDING_INDEX, /* another member's question, likewise */
+    PENDING_ENTRY,      /* a publication or change, decided by its entry */
+    PENDING_READ,       /* an operator's read, decided by a round */
+    PENDING_READ_INDEX, /* another member's question, likewise */
 };
 
 /** struct pending - a request that cannot be answered yet */
 struct pending {
     enum pending_kind kind;
-    uint64_t request;
-    uint64_t index; /* of the entry; of a read: to be applied first */
+    uint64_t request_id;
+    uint64_t wait_index; /* of the entry; of a read: to be applied first */
     uint64_t term;
     uint64_t round;
     int64_t deadline_us;
     struct cev_read read;
-    struct name asker; /* of PENDING_INDEX */
+    struct name from; /* of PENDING_READ_INDEX */
     uint64_t nonce;
 };
 
 /** struct follower - an entry instance that wants the configuration */
 struct follower {
     struct rec_follower info;
-    int64_t heard_us;
-    struct name via; /* the member it, or its zone's poller, asks */
-    bool here;       /* reported to this member, not to another */
-    bool direct;     /* it asked this member itself */
-    bool polling;    /* waits for an answer */
+    int64_t last_heard_us;
+    struct name via_member; /* the member it, or its zone's poller, asks */
+    bool reported_here;     /* reported to this member, not to another */
+    bool polls_directly;    /* it asked this member itself */
+    bool polling;           /* waits for an answer */
     /* Of the poll. */
-    uint64_t have;
-    uint64_t known; /* an answer has a version above it */
-    bool has_text;  /* of version @have */
+    uint64_t have_version;
+    uint64_t known_version; /* an answer has a version above it */
+    bool has_text;          /* of version @have_version */
     bool version_only;
-    int64_t poll_us; /* answer by then */
+    int64_t poll_deadline_us; /* answer by then */
 };
 
 /* Members, and room for those of a change that may be cut off again. */
@@ -91,7 +91,7 @@
     uint64_t index;
     uint64_t term;
     uint64_t size;
-    uint64_t got;
+    uint64_t received;
     char *data;
 };
 
@@ -106,67 +106,68 @@
     uint64_t term;
     struct name vote;
     struct clog log;
-    uint64_t seq;      /* last sync asked for */
-    uint64_t saved;    /* last one done */
-    uint64_t hard_seq; /* with which term and vote are durable */
+    uint64_t sync_seq;       /* last sync asked for */
+    uint64_t synced_seq;     /* last one done */
+    uint64_t hard_state_seq; /* with which term and vote are durable */
 
     /* Roles. */
     struct name leader;
-    int64_t heard_leader_us;
-    int64_t election_us;  /* campaign at */
-    int64_t campaign_us;  /* when the last one began */
-    bool met_leader;      /* in this life */
-    bool gave_way;        /* in this life, to another's first campaign */
-    int64_t heartbeat_us; /* next one, or next housekeeping */
-    int64_t quorum_us;    /* next check of the quorum */
-    uint64_t round;
-    int64_t round_us;       /* when it was begun */
-    uint64_t first_of_term; /* index of the leader's NOOP */
+    int64_t leader_heard_us;
+    int64_t election_due_us;   /* campaign at */
+    int64_t campaign_start_us; /* when the last one began */
+    bool seen_leader;          /* in this life */
+    bool yielded;              /* in this life, to another's first campaign */
+    int64_t heartbeat_due_us;  /* next one, or next housekeeping */
+    int64_t quorum_check_us;   /* next check of the quorum */
+    uint64_t heartbeat_round;
+    int64_t round_start_us;    /* when it was begun */
+    uint64_t term_start_index; /* index of the leader's NOOP */
 
     /* Members: the newest in the log rule, committed or not. */
     struct rec_membership members;
     uint64_t members_index;
     struct progress peers[PEERS_MAX];
 
-    uint64_t commit;
-    uint64_t applied;
+    uint64_t commit_index;
+    uint64_t applied_index;
     struct fsm fsm;
     struct blob *snapshot; /* the last one */
     uint64_t snapshot_index;
     uint64_t snapshot_term;
-    uint64_t snapshot_seq;
-    size_t bytes_since; /* applied since then */
+    uint64_t snapshot_sync_seq;
+    size_t bytes_since_snapshot; /* applied since then */
     struct incoming_snapshot incoming;
 
-    struct held_message *held;
-    size_t n_held;
+    struct deferred_message *deferred;
+    size_t n_deferred;
     struct pending *pending;
     size_t n_pending;
     struct follower *followers;
     size_t n_followers;
     struct served_texts served;
-    int64_t report_us; /* next report of them to the leader */
+    int64_t report_due_us; /* next report of them to the leader */
 
     struct name contacts[CONTROL_MEMBERS_MAX]; /* see enroll.c */
     size_t n_contacts;
-    int64_t join_us; /* next request to become a member */
-    int64_t lead_us; /* when this member began to lead */
+    int64_t join_due_us;     /* next request to become a member */
+    int64_t leader_since_us; /* when this member began to lead */
 
-    uint64_t serve_nonce; /* of the question that decides it */
-    uint64_t serve_index; /* its answer; 0: none yet */
+    uint64_t startup_nonce;      /* of the question that decides it */
+    uint64_t startup_read_index; /* its answer; 0: none yet */
 
     enum control_role role;
     bool started;
     bool stopping;
-    bool stopped_told;
-    bool dirty;  /* this step has effects on the disk */
-    bool pre;    /* candidate: asks whether there would be votes */
-    bool forced; /* candidate: the leader itself wants it */
-    bool handing_over;
+    bool stop_reported;
+    bool needs_sync; /* this step has effects on the disk */
+    bool pre;        /* candidate: asks whether there would be votes */
+    bool forced;     /* candidate: the leader itself wants it */
+    bool transfer_requested;
     bool followers_changed;
     bool serving; /* applied as much as was committed at the start */
     struct control_counters counters;
-    struct histogram publish; /* from an operator's change to its answer */
+    struct histogram
+        publish_latency; /* from an operator's change to its answer */
 };
 
 /* control.c */
@@ -185,78 +186,83 @@
 /** control_save_term() - sets term and vote and has them saved */
 void control_save_term(struct control *c, uint64_t term, struct name vote);
 
-/** control_next_seq() - the sync that covers effects of this step */
-uint64_t control_next_seq(const struct control *c);
+/** control_next_sync_seq() - the sync that covers effects of this step */
+uint64_t control_next_sync_seq(const struct control *c);
 
 /* quorum.c */
 
-/** quorum_member() - the member of that name, or NULL */
-const struct rec_control_member *quorum_member(const struct control *c,
-                                               struct name name);
+/** quorum_find_member() - the member of that name, or NULL */
+const struct rec_control_member *quorum_find_member(const struct control *c,
+                                                    struct name name);
 
-/** quorum_self_votes() - whether this member has a vote, on this disk */
-bool quorum_self_votes(const struct control *c);
+/** quorum_self_is_voter() - whether this member has a vote, on this disk */
+bool quorum_self_is_voter(const struct control *c);
 
-/** quorum_peer() - what is known of that member, or NULL when it is none */
-struct progress *quorum_peer(struct control *c, struct name name);
+/** quorum_progress() - what is known of that member, or NULL when it is none
+ */
+struct progress *quorum_progress(struct control *c, struct name name);
 
-/** quorum_counts() - whether the peer is a voter and spoke from the disk that
- * the members name: one that lost its disk forgot what it confirmed */
-bool quorum_counts(const struct control *c, const struct progress *p);
+/** quorum_peer_is_voter() - whether the peer is a voter and spoke from the
+ * disk that the members name: one that lost its disk forgot what it confirmed
+ */
+bool quorum_peer_is_voter(const struct control *c, const struct progress *p);
 
-/** quorum_size() - votes that make a majority */
-size_t quorum_size(const struct control *c);
+/** quorum_majority() - votes that make a majority */
+size_t quorum_majority(const struct control *c);
 
-/** quorum_granted() - whether the election is won */
-bool quorum_granted(const struct control *c);
+/** quorum_votes_won() - whether the election is won */
+bool quorum_votes_won(const struct control *c);
 
-/** quorum_index() - highest index that is durable on a majority */
-uint64_t quorum_index(const struct control *c);
+/** quorum_match_index() - highest index that is durable on a majority */
+uint64_t quorum_match_index(const struct control *c);
 
-/** quorum_round() - newest round that a majority answered */
-uint64_t quorum_round(const struct control *c);
+/** quorum_acked_round() - newest round that a majority answered */
+uint64_t quorum_acked_round(const struct control *c);
 
-/** quorum_heard() - whether a majority spoke since that time */
-bool quorum_heard(const struct control *c, int64_t since_us);
+/** quorum_is_active() - whether a majority spoke since that time */
+bool quorum_is_active(const struct control *c, int64_t since_us);
 
 /** quorum_set_members() - the members of an entry rule from now on */
 void quorum_set_members(struct control *c, const struct rec_membership *m,
                         uint64_t index);
 
-/** quorum_recall_members() - the newest in the log, after it was cut */
-void quorum_recall_members(struct control *c);
+/** quorum_reload_members() - the newest in the log, after it was cut */
+void quorum_reload_members(struct control *c);
 
-/** quorum_change() - an operator's change; makes the new members */
-enum control_result quorum_change(struct control *c,
-                                  const struct cev_change *change,
-                                  struct rec_membership *out,
-                                  const char **detail);
+/** quorum_prepare_change() - an operator's change; makes the new members */
+enum control_result quorum_prepare_change(struct control *c,
+                                          const struct cev_change *change,
+                                          struct rec_membership *out,
+                                          const char **detail);
 
-/** quorum_promote() - makes a learner that caught up a voter */
-void quorum_promote(struct control *c, const struct progress *p);
+/** quorum_promote_learner() - makes a learner that caught up a voter */
+void quorum_promote_learner(struct control *c, const struct progress *p);
 
 /* election.c */
-void election_restart_timer(struct control *c);
+void election_reset_timer(struct control *c);
 
-/** election_first_timer() - the same for a member that has just started */
-void election_first_timer(struct control *c);
+/** election_reset_startup_timer() - the same for a member that has just
+ * started */
+void election_reset_startup_timer(struct control *c);
 void election_tick(struct control *c);
 void election_on_vote(struct control *c, struct name from,
                       const struct rec_vote *v);
-void election_on_reply(struct control *c, struct name from,
-                       const struct rec_vote_reply *r);
+void election_on_vote_reply(struct control *c, struct name from,
+                            const struct rec_vote_reply *r);
 void election_on_hand_over(struct control *c, struct name from,
                            const struct rec_hand_over *h);
 
-/** election_count() - wins the election if the votes are there */
-void election_count(struct control *c);
+/** election_count_votes() - wins the election if the votes are there */
+void election_count_votes(struct control *c);
 
-/** election_follow() - becomes a follower in @term, of @leader if known */
-void election_follow(struct control *c, uint64_t term, struct name leader);
+/** election_become_follower() - becomes a follower in @term, of @leader if
+ * known */
+void election_become_follower(struct control *c, uint64_t term,
+                              struct name leader);
 
-/** election_outbid() - a leader met a member with a higher term: it campaigns
- * above it, so that the member can follow again */
-void election_outbid(struct control *c, uint64_t term);
+/** election_campaign_above() - a leader met a member with a higher term: it
+ * campaigns above it, so that the member can follow again */
+void election_campaign_above(struct control *c, uint64_t term);
 
 /* replicate.c */
 
@@ -266,19 +272,20 @@
 
 /** replicate_heartbeat() - a new round to all */
 void replicate_heartbeat(struct control *c);
-void replicate_start_leading(struct control *c);
-void replicate_on_reply(struct control *c, struct name from,
-                        const struct rec_append_reply *r);
+void replicate_init_leader(struct control *c);
+void replicate_on_append_reply(struct control *c, struct name from,
+                               const struct rec_append_reply *r);
 void replicate_on_snapshot_reply(struct control *c, struct name from,
                                  const struct rec_snapshot_reply *r);
 
-/** replicate_advance() - the leader looks for newly committed entries */
-void replicate_advance(struct control *c);
+/** replicate_advance_commit() - the leader looks for newly committed entries
+ */
+void replicate_advance_commit(struct control *c);
 
-/** replicate_add() - adds entries to the log, in memory and on the disk; takes
- * no references */
-void replicate_add(struct control *c, const struct rec_log_entry *entries,
-                   size_t n);
+/** replicate_append() - adds entries to the log, in memory and on the disk;
+ * takes no references */
+void replicate_append(struct control *c, const struct rec_log_entry *entries,
+                      size_t n);
 
 /* receive.c */
 void receive_append(struct control *c, struct name from,
@@ -296,24 +303,24 @@
 void apply_save_snapshot(struct control *c, struct blob *state, uint64_t index,
                          uint64_t term, bool discard);
 
-/** apply_saved() - drops what a durable snapshot holds */
-void apply_saved(struct control *c);
+/** apply_compact_log() - drops what a durable snapshot holds */
+void apply_compact_log(struct control *c);
 
 /* serve.c */
 void serve_publish(struct control *c, const struct cev_publish *p);
 void serve_change(struct control *c, const struct cev_change *change);
 void serve_read(struct control *c, const struct cev_read *r);
-void serve_gone(struct control *c, uint64_t request);
+void serve_disconnect(struct control *c, uint64_t request);
 
-/** serve_applied() - answers the request whose entry was applied */
-void serve_applied(struct control *c, uint64_t index, uint64_t term,
-                   const struct fsm_outcome *o);
+/** serve_entry_applied() - answers the request whose entry was applied */
+void serve_entry_applied(struct control *c, uint64_t index, uint64_t term,
+                         const struct fsm_outcome *o);
 
-/** serve_reads() - answers reads that are confirmed by now */
-void serve_reads(struct control *c);
+/** serve_pending() - answers reads that are confirmed by now */
+void serve_pending(struct control *c);
 
-/** serve_busy() - whether an operator still waits for an entry */
-bool serve_busy(const struct control *c);
+/** serve_has_pending_entry() - whether an operator still waits for an entry */
+bool serve_has_pending_entry(const struct control *c);
 
 void serve_on_read_index(struct control *c, struct name from,
                          const struct rec_read_index *r);
@@ -329,11 +336,12 @@
                     const struct rec_join *j);
 void enroll_on_members(struct control *c, const struct rec_membership *m);
 
-/** enroll_contact() - a process that may be a member */
-void enroll_contact(struct control *c, struct name name);
+/** enroll_add_contact() - a process that may be a member */
+void enroll_add_contact(struct control *c, struct name name);
 
-/** enroll_knows() - whether that process was named as a member by another */
-bool enroll_knows(const struct control *c, struct name from);
+/** enroll_is_contact() - whether that process was named as a member by another
+ */
+bool enroll_is_contact(const struct control *c, struct name from);
 
 /* followers.c */
 
@@ -342,8 +350,8 @@
 void followers_on_report(struct control *c, struct name from,
                          const struct rec_followers *f);
 
-/** followers_serve() - answers long polls that a newer version meets */
-void followers_serve(struct control *c);
+/** followers_answer_polls() - answers long polls that a newer version meets */
+void followers_answer_polls(struct control *c);
 
 /** followers_tick() - answers polls that are due, reports to the leader, asks
  * it whether this member may serve */
--- a/src/election.c
+++ b/src/election.c
@@ -4,37 +4,39 @@
 #include "control_state.h"
 
 void
-election_restart_timer(struct control *c)
+election_reset_timer(struct control *c)
 {
-    uint64_t spread = control_random(c) % (uint64_t)(c->opts.election_us + 1);
+    uint64_t spread =
+        control_random(c) % (uint64_t)(c->opts.election_timeout_us + 1);
 
-    c->election_us = c->now.mono_us + c->opts.election_us + (int64_t)spread;
+    c->election_due_us =
+        c->now.mono_us + c->opts.election_timeout_us + (int64_t)spread;
 }
 
 /* No leader was met in this life. */
 static bool
 is_fresh(const struct control *c)
 {
-    return c->opts.first_us > 0 && !c->met_leader;
+    return c->opts.startup_timeout_us > 0 && !c->seen_leader;
 }
 
 /* Before any leader was met in this life the question whether there would be
  * votes is asked again soon: after a power loss the others may have started
  * just after it was asked first. */
 void
-election_first_timer(struct control *c)
+election_reset_startup_timer(struct control *c)
 {
-    int64_t first_us = c->opts.first_us;
+    int64_t first_us = c->opts.startup_timeout_us;
 
-    c->election_us = c->now.mono_us + first_us +
-                     (int64_t)(control_random(c) % (uint64_t)first_us);
+    c->election_due_us = c->now.mono_us + first_us +
+                         (int64_t)(control_random(c) % (uint64_t)first_us);
 }
 
 static void
 forget_grants(struct control *c)
 {
     for (size_t i = 0; i < PEERS_MAX; i++) {
-        c->peers[i].granted = false;
+        c->peers[i].vote_granted = false;
     }
 }
 
@@ -53,7 +55,7 @@
         m.u.vote.last_index = clog_last(&c->log);
         m.u.vote.last_term = clog_last_term(&c->log);
         m.u.vote.forced = c->forced ? 1 : 0;
-        control_send(c, to->name, &m, c->hard_seq);
+        control_send(c, to->name, &m, c->hard_state_seq);
     }
 }
 
@@ -65,12 +67,12 @@
     c->forced = forced;
     c->leader = name_of("");
     forget_grants(c);
-    c->campaign_us = c->now.mono_us;
+    c->campaign_start_us = c->now.mono_us;
     if (pre && is_fresh(c)) {
-        election_first_timer(c);
+        election_reset_startup_timer(c);
     }
     else {
-        election_restart_timer(c);
+        election_reset_timer(c);
     }
     if (!pre) {
         control_save_term(c, term, c->opts.self);
@@ -79,7 +81,7 @@
                     "term %llu", (unsigned long long)term);
     }
     ask_for_votes(c);
-    election_count(c);
+    election_count_votes(c);
 }
 
 static void
@@ -87,20 +89,20 @@
 {
     c->role = CONTROL_LEADER;
     c->leader = c->opts.self;
-    c->met_leader = true;
-    c->quorum_us = c->now.mono_us + c->opts.election_us;
-    c->handing_over = false;
-    c->lead_us = c->now.mono_us;
+    c->seen_leader = true;
+    c->quorum_check_us = c->now.mono_us + c->opts.election_timeout_us;
+    c->transfer_requested = false;
+    c->leader_since_us = c->now.mono_us;
     c->counters.led++;
     control_log(c, LOG_NOTICE, CONTROL_REASON_LEADING, c->opts.self,
                 "term %llu", (unsigned long long)c->term);
-    replicate_start_leading(c);
+    replicate_init_leader(c);
 }
 
 void
-election_count(struct control *c)
+election_count_votes(struct control *c)
 {
-    if (c->role != CONTROL_CANDIDATE || !quorum_granted(c)) {
+    if (c->role != CONTROL_CANDIDATE || !quorum_votes_won(c)) {
         return;
     }
     if (c->pre) {
@@ -118,20 +120,20 @@
 {
     bool pre = !c->opts.breaks[CONTROL_BREAK_NO_PRE_VOTE];
 
-    if (c->role == CONTROL_LEADER || c->now.mono_us < c->election_us ||
+    if (c->role == CONTROL_LEADER || c->now.mono_us < c->election_due_us ||
         c->stopping) {
         return;
     }
     c->leader = name_of("");
-    if (!quorum_self_votes(c)) {
-        election_restart_timer(c);
+    if (!quorum_self_is_voter(c)) {
+        election_reset_timer(c);
         return;
     }
     campaign(c, pre, false, c->term + 1);
 }
 
 void
-election_follow(struct control *c, uint64_t term, struct name leader)
+election_become_follower(struct control *c, uint64_t term, struct name leader)
 {
     bool changed = !name_equal(leader, c->leader) || term > c->term;
 
@@ -143,15 +145,15 @@
                     "term %llu", (unsigned long long)term);
     }
     if (c->role != CONTROL_FOLLOWER || !name_empty(leader)) {
-        election_restart_timer(c);
+        election_reset_timer(c);
     }
     c->role = CONTROL_FOLLOWER;
     c->leader = leader;
     if (name_empty(leader)) {
         return;
     }
-    c->heard_leader_us = c->now.mono_us;
-    c->met_leader = true;
+    c->leader_heard_us = c->now.mono_us;
+    c->seen_leader = true;
     if (changed) {
         control_log(c, LOG_INFO, CONTROL_REASON_FOLLOWING, leader, "term %llu",
                     (unsigned long long)term);
@@ -159,7 +161,7 @@
 }
 
 void
-election_outbid(struct control *c, uint64_t term)
+election_campaign_above(struct control *c, uint64_t term)
 {
     control_log(c, LOG_WARNING, CONTROL_REASON_HIGHER_TERM, c->opts.self,
                 "%llu is above %llu", (unsigned long long)term,
@@ -207,7 +209,7 @@
         return false;
     }
     return c->role == CONTROL_LEADER ||
-           c->now.mono_us < c->heard_leader_us + c->opts.election_us;
+           c->now.mono_us < c->leader_heard_us + c->opts.election_timeout_us;
 }
 
 /* Two that start together campaign together; where each votes for itself
@@ -216,8 +218,9 @@
 static bool
 goes_first(const struct control *c, struct name from, const struct rec_vote *v)
 {
-    bool underway = c->role == CONTROL_CANDIDATE &&
-                    c->now.mono_us - c->campaign_us < c->opts.first_us;
+    bool underway =
+        c->role == CONTROL_CANDIDATE &&
+        c->now.mono_us - c->campaign_start_us < c->opts.startup_timeout_us;
     bool alike = v->last_term == clog_last_term(&c->log) &&
                  v->last_index == clog_last(&c->log);
 
@@ -235,7 +238,7 @@
     m.u.vote_reply.pre = v->pre;
     m.u.vote_reply.granted = granted ? 1 : 0;
     m.u.vote_reply.disk = c->opts.disk;
-    control_send(c, to, &m, c->hard_seq);
+    control_send(c, to, &m, c->hard_state_seq);
 }
 
 /* Whoever said that it would vote for another waits for that one's campaign
@@ -244,13 +247,13 @@
 static void
 give_way(struct control *c)
 {
-    if (!is_fresh(c) || c->gave_way ||
+    if (!is_fresh(c) || c->yielded ||
         (c->role == CONTROL_CANDIDATE && !c->pre)) {
         return;
     }
-    c->gave_way = true;
+    c->yielded = true;
     c->role = CONTROL_FOLLOWER;
-    election_first_timer(c);
+    election_reset_startup_timer(c);
 }
 
 static void
@@ -278,7 +281,7 @@
     if (!name_equal(c->vote, from)) {
         control_save_term(c, c->term, from);
     }
-    election_restart_timer(c);
+    election_reset_timer(c);
     return true;
 }
 
@@ -293,23 +296,23 @@
         return;
     }
     if (v->term > c->term) {
-        election_follow(c, v->term, name_of(""));
+        election_become_follower(c, v->term, name_of(""));
     }
     reply_to_vote(c, from, v, grant(c, from, v));
 }
 
 void
-election_on_reply(struct control *c, struct name from,
-                  const struct rec_vote_reply *r)
+election_on_vote_reply(struct control *c, struct name from,
+                       const struct rec_vote_reply *r)
 {
     uint64_t wanted = c->pre ? c->term + 1 : c->term;
-    struct progress *p = quorum_peer(c, from);
+    struct progress *p = quorum_progress(c, from);
 
     if (p == NULL) {
         return;
     }
     if (r->granted == 0 && r->term > c->term && c->role != CONTROL_LEADER) {
-        election_follow(c, r->term, name_of(""));
+        election_become_follower(c, r->term, name_of(""));
         return;
     }
     if (c->role != CONTROL_CANDIDATE || r->pre != (c->pre ? 1 : 0) ||
@@ -317,8 +320,8 @@
         return;
     }
     p->disk = r->disk;
-    p->granted = true;
-    election_count(c);
+    p->vote_granted = true;
+    election_count_votes(c);
 }
 
 void
@@ -326,7 +329,8 @@
                       const struct rec_hand_over *h)
 {
     if (h->term != c->term || !name_equal(from, c->leader) ||
-        c->role != CONTROL_FOLLOWER || !quorum_self_votes(c) || c->stopping) {
+        c->role != CONTROL_FOLLOWER || !quorum_self_is_voter(c) ||
+        c->stopping) {
         return;
     }
     campaign(c, false, true, c->term + 1);
--- a/src/enroll.c
+++ b/src/enroll.c
@@ -19,7 +19,7 @@
 };
 
 bool
-enroll_knows(const struct control *c, struct name from)
+enroll_is_contact(const struct control *c, struct name from)
 {
     if (!c->opts.enroll) {
         return false;
@@ -53,8 +53,8 @@
 static void
 ask_all(struct control *c)
 {
-    for (size_t i = 0; i < c->opts.n_known; i++) {
-        ask(c, c->opts.known[i]);
+    for (size_t i = 0; i < c->opts.n_configured; i++) {
+        ask(c, c->opts.configured[i]);
     }
     for (size_t i = 0; i < c->members.n_members; i++) {
         ask(c, c->members.members[i].name);
@@ -70,13 +70,14 @@
 static void
 seek_leader(struct control *c)
 {
-    int64_t silent = c->now.mono_us - c->heard_leader_us;
+    int64_t silent = c->now.mono_us - c->leader_heard_us;
 
-    if (c->stopping || c->now.mono_us < c->join_us ||
-        (c->members.n_members > 0 && silent < 2 * c->opts.election_us)) {
+    if (c->stopping || c->now.mono_us < c->join_due_us ||
+        (c->members.n_members > 0 &&
+         silent < 2 * c->opts.election_timeout_us)) {
         return;
     }
-    c->join_us = c->now.mono_us + JOIN_US;
+    c->join_due_us = c->now.mono_us + JOIN_US;
     ask_all(c);
 }
 
@@ -92,7 +93,8 @@
         change.address = j->address;
         change.http = j->http;
     }
-    if (quorum_change(c, &change, &m.u.membership, &detail) != CONTROL_OK) {
+    if (quorum_prepare_change(c, &change, &m.u.membership, &detail) !=
+        CONTROL_OK) {
         return; /* it is tried again at the next tick or request */
     }
     control_log(c, LOG_NOTICE, reason, member, "%zu members",
@@ -118,10 +120,10 @@
 static void
 note_heard(struct control *c, struct name name)
 {
-    struct progress *p = quorum_peer(c, name);
+    struct progress *p = quorum_progress(c, name);
 
     if (p != NULL) {
-        p->heard_us = c->now.mono_us;
+        p->last_heard_us = c->now.mono_us;
     }
 }
 
@@ -132,16 +134,16 @@
         tell_members(c, from);
         return;
     }
-    if (quorum_member(c, from) == NULL) {
+    if (quorum_find_member(c, from) == NULL) {
         propose(c, CHANGE_ADD, from, j, CONTROL_REASON_ENROLLED);
         note_heard(c, from);
     }
 }
 
 void
-enroll_contact(struct control *c, struct name name)
+enroll_add_contact(struct control *c, struct name name)
 {
-    if (!enroll_knows(c, name) && c->n_contacts < CONTROL_MEMBERS_MAX) {
+    if (!enroll_is_contact(c, name) && c->n_contacts < CONTROL_MEMBERS_MAX) {
         c->contacts[c->n_contacts++] = name;
     }
 }
@@ -168,7 +170,8 @@
 static int64_t
 silent_us(const struct control *c, const struct progress *p)
 {
-    int64_t since = p->heard_us > c->lead_us ? p->heard_us : c->lead_us;
+    int64_t since = p->last_heard_us > c->leader_since_us ? p->last_heard_us
+                                                          : c->leader_since_us;
 
     return c->now.mono_us - since;
 }
@@ -176,13 +179,13 @@
 static size_t
 voters_heard(struct control *c)
 {
-    size_t n = quorum_self_votes(c) ? 1 : 0;
+    size_t n = quorum_self_is_voter(c) ? 1 : 0;
 
     for (size_t i = 0; i < c->members.n_members; i++) {
-        struct progress *p = quorum_peer(c, c->members.members[i].name);
+        struct progress *p = quorum_progress(c, c->members.members[i].name);
 
-        n += p != NULL && quorum_counts(c, p) &&
-             silent_us(c, p) < c->opts.election_us;
+        n += p != NULL && quorum_peer_is_voter(c, p) &&
+             silent_us(c, p) < c->opts.election_timeout_us;
     }
     return n;
 }
@@ -201,7 +204,7 @@
 
     for (size_t i = 0; i < c->members.n_members; i++) {
         struct rec_control_member m = c->members.members[i];
-        struct progress *p = quorum_peer(c, m.name);
+        struct progress *p = quorum_progress(c, m.name);
 
         if (p == NULL) {
             continue;
@@ -211,7 +214,7 @@
                     CONTROL_REASON_DISK_REPLACED);
             return;
         }
-        if (spare && silent_us(c, p) > c->opts.gone_us) {
+        if (spare && silent_us(c, p) > c->opts.remove_timeout_us) {
             propose(c, CHANGE_REMOVE, m.name, NULL, CONTROL_REASON_REMOVED);
             return;
         }
@@ -225,8 +228,8 @@
         seek_leader(c);
         return;
     }
-    if (c->members_index <= c->commit && c->first_of_term <= c->commit &&
-        !c->stopping) {
+    if (c->members_index <= c->commit_index &&
+        c->term_start_index <= c->commit_index && !c->stopping) {
         keep_members(c);
     }
 }
--- a/src/entry.c
+++ b/src/entry.c
@@ -174,7 +174,7 @@
     e->holders = holders_new();
     e->slots = slots_new(e);
     e->dispatch = dispatch_new(e);
-    e->follow = follow_new(e);
+    e->config_sync = config_sync_new(e);
     return e;
 }
 
@@ -198,7 +198,7 @@
         return;
     }
     forget_queues(e);
-    follow_free(e->follow);
+    config_sync_free(e->config_sync);
     dispatch_free(e->dispatch);
     slots_free(e->slots);
     upstreams_free(e->upstreams);
@@ -308,7 +308,7 @@
         break;
     case MSG_CONFIG_REQUEST:
     case MSG_CONFIG_REPLY:
-        follow_on_message(e, from, m);
+        config_sync_on_message(e, from, m);
         break;
     default:
         e->counters.messages_bad++;
@@ -326,7 +326,7 @@
     jobs_tick(e);
     upstreams_tick(e);
     dispatch_tick(e);
-    follow_tick(e);
+    config_sync_tick(e);
 }
 
 static void
@@ -452,7 +452,7 @@
     next = earlier(next, upstreams_next_us(e));
     next = earlier(next, handover_next_us(e));
     next = earlier(next, dispatch_next_us(e));
-    return earlier(next, follow_next_us(e));
+    return earlier(next, config_sync_next_us(e));
 }
 
 bool
--- a/src/entry_state.h
+++ b/src/entry_state.h
@@ -36,7 +36,7 @@
 struct holders;
 struct slots;
 struct dispatch;
-struct follow;
+struct config_sync;
 struct explain;
 struct successors;
 struct handover;
@@ -61,7 +61,7 @@
     struct holders *holders;
     struct slots *slots;
     struct dispatch *dispatch;
-    struct follow *follow;
+    struct config_sync *config_sync;
     struct explain *explain;
     struct successors *successors;
     struct handover *handover;
--- a/src/follow.c
+++ b/src/follow.c
@@ -29,7 +29,7 @@
     bool version_only;
 };
 
-struct follow {
+struct config_sync {
     uint64_t version; /* newest text received */
     uint64_t term;
     struct blob *text;
@@ -51,10 +51,10 @@
     size_t n_polls;
 };
 
-struct follow *
-follow_new(const struct entry *e)
+struct config_sync *
+config_sync_new(const struct entry *e)
 {
-    struct follow *f = calloc(1, sizeof(*f));
+    struct config_sync *f = calloc(1, sizeof(*f));
 
     if (f == NULL) {
         abort();
@@ -64,7 +64,7 @@
 }
 
 void
-follow_free(struct follow *f)
+config_sync_free(struct config_sync *f)
 {
     if (f != NULL) {
         blob_unref(f->text);
@@ -90,7 +90,7 @@
     size_t at = 0;
     struct member *m;
 
-    e->follow->reported = 0;
+    e->config_sync->reported = 0;
     r->members = calloc(e->opts.n_peers, sizeof(*r->members));
     while (r->members != NULL && (m = members_next(e, &at)) != NULL) {
         if (in_our_zone(e, m)) {
@@ -101,7 +101,7 @@
                 .version = m->config_version,
                 .age_us = (uint64_t)(e->now.mono_us - m->heard_us),
             };
-            e->follow->reported += m->config_version;
+            e->config_sync->reported += m->config_version;
         }
     }
 }
@@ -115,12 +115,13 @@
         report_zone(e, &m.u.config_request);
     }
 
-    m.u.config_request.have_version = e->follow->version;
+    m.u.config_request.have_version = e->config_sync->version;
     m.u.config_request.incarnation = e->opts.incarnation;
     m.u.config_request.zone = e->zone;
-    m.u.config_request.has_text = e->follow->text != NULL && !e->follow->whole;
+    m.u.config_request.has_text =
+        e->config_sync->text != NULL && !e->config_sync->whole;
     m.u.config_request.version_only = version_only ? 1 : 0;
-    m.u.config_request.known_version = e->follow->version;
+    m.u.config_request.known_version = e->config_sync->version;
     entry_send(e, server, &m);
 }
 
@@ -179,7 +180,7 @@
 static void
 ask_everyone(struct entry *e)
 {
-    struct follow *f = e->follow;
+    struct config_sync *f = e->config_sync;
     bool first = f->started_us == 0;
     size_t at = 0;
     struct member *m;
@@ -199,7 +200,7 @@
 static void
 ask_one(struct entry *e)
 {
-    struct follow *f = e->follow;
+    struct config_sync *f = e->config_sync;
     struct name server;
 
     if (!zone_follower(e, &server)) {
@@ -227,7 +228,7 @@
 static void
 put_in_force(struct entry *e)
 {
-    struct follow *f = e->follow;
+    struct config_sync *f = e->config_sync;
     struct servicefile_errors errs = {0};
     struct config *c =
         servicefile_parse_text(f->text->data, "received", &errs);
@@ -249,7 +250,7 @@
 static bool
 majority_replied(const struct entry *e)
 {
-    size_t replied = (size_t)__builtin_popcountll(e->follow->replied);
+    size_t replied = (size_t)__builtin_popcountll(e->config_sync->replied);
 
     return replied > e->opts.n_controls / 2;
 }
@@ -259,14 +260,14 @@
 static bool
 may_start(const struct entry *e)
 {
-    return e->now.mono_us - e->follow->started_us >= START_WAIT_US ||
+    return e->now.mono_us - e->config_sync->started_us >= START_WAIT_US ||
            majority_replied(e);
 }
 
 static void
 fetch_first(struct entry *e)
 {
-    struct follow *f = e->follow;
+    struct config_sync *f = e->config_sync;
 
     if (f->told_version <= f->version || !may_start(e) ||
         e->now.mono_us < f->fetch_us) {
@@ -281,7 +282,7 @@
 static void
 consider(struct entry *e)
 {
-    struct follow *f = e->follow;
+    struct config_sync *f = e->config_sync;
     const struct member *ahead = newest_member(e);
 
     if (e->config == NULL) {
@@ -304,7 +305,7 @@
 static void
 take_text(struct entry *e, const struct rec_config_reply *m)
 {
-    struct follow *f = e->follow;
+    struct config_sync *f = e->config_sync;
     struct blob *text = textpack_read_reply(m, f->text, f->version);
 
     f->whole = text == NULL;
@@ -327,7 +328,7 @@
 static void
 on_reply(struct entry *e, struct name from, const struct rec_config_reply *m)
 {
-    struct follow *f = e->follow;
+    struct config_sync *f = e->config_sync;
     int control = control_number(e, from);
 
     if (e->opts.n_controls == 0 ||
@@ -359,7 +360,7 @@
 reply(struct entry *e, struct name to, bool newer, uint64_t have,
       bool has_text)
 {
-    struct follow *f = e->follow;
+    struct config_sync *f = e->config_sync;
     struct msg m = {.kind = MSG_CONFIG_REPLY};
     struct rec_config_reply *r = &m.u.config_reply;
     struct published_text newest = {f->version, f->text};
@@ -379,7 +380,7 @@
 static void
 hold(struct entry *e, struct name from, const struct rec_config_request *m)
 {
-    struct follow *f = e->follow;
+    struct config_sync *f = e->config_sync;
     struct poll *p = NULL;
 
     for (size_t i = 0; i < f->n_polls && p == NULL; i++) {
@@ -406,7 +407,7 @@
         e->counters.messages_bad++;
         return;
     }
-    if (e->follow->version > m->known_version) {
+    if (e->config_sync->version > m->known_version) {
         reply(e, from, m->version_only == 0, m->have_version,
               m->has_text != 0);
         return;
@@ -419,7 +420,7 @@
 static void
 serve_polls(struct entry *e)
 {
-    struct follow *f = e->follow;
+    struct config_sync *f = e->config_sync;
     size_t kept = 0;
 
     for (size_t i = 0; i < f->n_polls; i++) {
@@ -439,7 +440,7 @@
 }
 
 void
-follow_on_message(struct entry *e, struct name from, const struct msg *m)
+config_sync_on_message(struct entry *e, struct name from, const struct msg *m)
 {
     if (m->kind == MSG_CONFIG_REQUEST) {
         on_request(e, from, &m->u.config_request);
@@ -455,7 +456,7 @@
 static void
 catch_up(struct entry *e)
 {
-    struct follow *f = e->follow;
+    struct config_sync *f = e->config_sync;
     const struct member *ahead = newest_member(e);
 
     if (ahead == NULL) {
@@ -477,7 +478,7 @@
 static void
 report_changes(struct entry *e)
 {
-    struct follow *f = e->follow;
+    struct config_sync *f = e->config_sync;
     struct name server;
     uint64_t sum = 0;
     size_t at = 0;
@@ -495,13 +496,13 @@
 }
 
 void
-follow_tick(struct entry *e)
+config_sync_tick(struct entry *e)
 {
     serve_polls(e);
     if (e->opts.n_controls == 0) {
         return;
     }
-    if (e->now.mono_us >= e->follow->due_us) {
+    if (e->now.mono_us >= e->config_sync->due_us) {
         if (e->config == NULL) {
             ask_everyone(e);
             consider(e);
@@ -517,9 +518,9 @@
 }
 
 int64_t
-follow_next_us(const struct entry *e)
+config_sync_next_us(const struct entry *e)
 {
-    const struct follow *f = e->follow;
+    const struct config_sync *f = e->config_sync;
     int64_t next = f->due_us;
 
     for (size_t i = 0; i < f->n_polls; i++) {
--- a/src/follow.h
+++ b/src/follow.h
@@ -10,12 +10,13 @@
 
 #include "entry_state.h"
 
-struct follow *follow_new(const struct entry *e);
-void follow_free(struct follow *f);
+struct config_sync *config_sync_new(const struct entry *e);
+void config_sync_free(struct config_sync *f);
 
-/** follow_on_message() - CONFIG_REQUEST and CONFIG_REPLY */
-void follow_on_message(struct entry *e, struct name from, const struct msg *m);
-void follow_tick(struct entry *e);
-int64_t follow_next_us(const struct entry *e);
+/** config_sync_on_message() - CONFIG_REQUEST and CONFIG_REPLY */
+void config_sync_on_message(struct entry *e, struct name from,
+                            const struct msg *m);
+void config_sync_tick(struct entry *e);
+int64_t config_sync_next_us(const struct entry *e);
 
 #endif
--- a/src/followers.c
+++ b/src/followers.c
@@ -15,7 +15,7 @@
 place_of_reported(struct control *c)
 {
     for (size_t i = 0; i < c->n_followers; i++) {
-        if (!c->followers[i].direct) {
+        if (!c->followers[i].polls_directly) {
             return &c->followers[i];
         }
     }
@@ -42,7 +42,7 @@
 
     for (size_t i = 0; i < c->n_followers; i++) {
         if (name_equal(c->followers[i].info.instance, name)) {
-            c->followers[i].direct |= direct;
+            c->followers[i].polls_directly |= direct;
             return &c->followers[i];
         }
     }
@@ -55,8 +55,8 @@
     if (f != NULL) {
         memset(f, 0, sizeof(*f));
         f->info.instance = name;
-        f->heard_us = INT64_MIN;
-        f->direct = direct;
+        f->last_heard_us = INT64_MIN;
+        f->polls_directly = direct;
     }
     return f;
 }
@@ -69,7 +69,7 @@
     int64_t age = info->age_us < INT64_C(1) << 40 ? (int64_t)info->age_us
                                                   : INT64_C(1) << 40;
 
-    if (f == NULL || f->heard_us > c->now.mono_us - age) {
+    if (f == NULL || f->last_heard_us > c->now.mono_us - age) {
         return f;
     }
     if (f->info.version != info->version ||
@@ -77,9 +77,9 @@
         c->followers_changed = true;
     }
     f->info = *info;
-    f->heard_us = c->now.mono_us - age;
-    f->via = via;
-    f->here = name_equal(via, c->opts.self);
+    f->last_heard_us = c->now.mono_us - age;
+    f->via_member = via;
+    f->reported_here = name_equal(via, c->opts.self);
     return f;
 }
 
@@ -99,11 +99,11 @@
         return;
     }
     f->polling = true;
-    f->have = r->have_version;
+    f->have_version = r->have_version;
     f->has_text = r->has_text != 0 && r->have_version != 0;
     f->version_only = r->version_only != 0;
-    f->known = r->known_version;
-    f->poll_us = c->now.mono_us + c->opts.poll_us;
+    f->known_version = r->known_version;
+    f->poll_deadline_us = c->now.mono_us + c->opts.poll_timeout_us;
     for (size_t i = 0; i < r->n_members && i < INSTANCES_MAX; i++) {
         (void)note_follower(c, &r->members[i], c->opts.self, false);
     }
@@ -113,7 +113,7 @@
 followers_on_report(struct control *c, struct name from,
                     const struct rec_followers *list)
 {
-    if (quorum_member(c, from) == NULL) {
+    if (quorum_find_member(c, from) == NULL) {
         return;
     }
     for (size_t i = 0; i < list->n_followers && i < FOLLOWERS_MAX; i++) {
@@ -132,7 +132,8 @@
 static struct published_text
 text_of(const struct control *c, uint64_t version)
 {
-    return (struct published_text){version, fsm_text(&c->fsm, version)};
+    return (struct published_text){version,
+                                   fsm_version_text(&c->fsm, version)};
 }
 
 static void
@@ -142,11 +143,11 @@
     struct rec_config_reply *r = &m.u.config_reply;
     struct published_text base = {0};
 
-    if (f->has_text && fsm_text(&c->fsm, f->have) != NULL) {
-        base = text_of(c, f->have);
+    if (f->has_text && fsm_version_text(&c->fsm, f->have_version) != NULL) {
+        base = text_of(c, f->have_version);
     }
     served_text_fill(&c->served, text_of(c, c->fsm.version), base, r);
-    r->term = fsm_version(&c->fsm, c->fsm.version)->term;
+    r->term = fsm_publication(&c->fsm, c->fsm.version)->term;
     c->counters.configs_sent++;
     c->counters.deltas_sent += r->from_version != 0 ? 1 : 0;
     c->counters.config_bytes_sent += r->config->size;
@@ -167,7 +168,7 @@
  * what was committed when the leader answered it, it serves nobody: a follower
  * that restarted too would otherwise get an older version than it had. */
 void
-followers_serve(struct control *c)
+followers_answer_polls(struct control *c)
 {
     if (!c->serving) {
         return;
@@ -175,7 +176,7 @@
     for (size_t i = 0; i < c->n_followers; i++) {
         struct follower *f = &c->followers[i];
 
-        if (!f->polling || f->known >= c->fsm.version) {
+        if (!f->polling || f->known_version >= c->fsm.version) {
             continue;
         }
         if (f->version_only) {
@@ -194,11 +195,11 @@
     struct rec_followers *list = &m.u.followers;
 
     if (name_empty(c->leader) || c->role == CONTROL_LEADER ||
-        (!c->followers_changed && c->now.mono_us < c->report_us)) {
+        (!c->followers_changed && c->now.mono_us < c->report_due_us)) {
         return;
     }
     c->followers_changed = false;
-    c->report_us = c->now.mono_us + REPORT_US;
+    c->report_due_us = c->now.mono_us + REPORT_US;
     list->followers = calloc(c->n_followers + 1, sizeof(*list->followers));
     if (list->followers == NULL) {
         abort();
@@ -206,8 +207,8 @@
     for (size_t i = 0; i < c->n_followers; i++) {
         struct follower *f = &c->followers[i];
 
-        if (f->here) {
-            f->info.age_us = (uint64_t)(c->now.mono_us - f->heard_us);
+        if (f->reported_here) {
+            f->info.age_us = (uint64_t)(c->now.mono_us - f->last_heard_us);
             list->followers[list->n_followers++] = f->info;
         }
     }
@@ -223,12 +224,12 @@
 {
     struct msg m = {.kind = MSG_READ_INDEX};
 
-    if (c->serving || c->serve_index > 0 || name_empty(c->leader) ||
+    if (c->serving || c->startup_read_index > 0 || name_empty(c->leader) ||
         c->role == CONTROL_LEADER) {
         return;
     }
-    m.u.read_index.nonce = c->serve_nonce;
-    control_send(c, c->leader, &m, c->hard_seq);
+    m.u.read_index.nonce = c->startup_nonce;
+    control_send(c, c->leader, &m, c->hard_state_seq);
 }
 
 void
@@ -239,10 +240,11 @@
 
         /* One that cannot serve yet stays silent: the follower asks another.
          */
-        if (c->serving && f->polling && c->now.mono_us >= f->poll_us) {
-            send_version(c, f, f->have);
+        if (c->serving && f->polling &&
+            c->now.mono_us >= f->poll_deadline_us) {
+            send_version(c, f, f->have_version);
         }
-        if (c->now.mono_us - f->heard_us > c->opts.follower_us) {
+        if (c->now.mono_us - f->last_heard_us > c->opts.follower_timeout_us) {
             c->n_followers--;
             *f = c->followers[c->n_followers];
         }
--- a/src/fsm.c
+++ b/src/fsm.c
@@ -67,7 +67,7 @@
 }
 
 const struct rec_publication *
-fsm_version(const struct fsm *f, uint64_t version)
+fsm_publication(const struct fsm *f, uint64_t version)
 {
     uint64_t oldest;
 
@@ -82,7 +82,7 @@
 }
 
 struct blob *
-fsm_text(const struct fsm *f, uint64_t version)
+fsm_version_text(const struct fsm *f, uint64_t version)
 {
     for (size_t i = f->n_texts; i > 0; i--) {
         if (f->texts[i - 1].version == version) {
@@ -114,14 +114,14 @@
     struct fsm_outcome o = {.result = CONTROL_OK};
 
     if (p->rank <= f->rank) {
-        o.of = fsm_version(f, f->version);
+        o.publication = fsm_publication(f, f->version);
         o.resend = true;
     }
     return o;
 }
 
 struct fsm_outcome
-fsm_judge(const struct fsm *f, const struct rec_publish *p)
+fsm_check_publish(const struct fsm *f, const struct rec_publish *p)
 {
     struct fsm_outcome o = {.result = CONTROL_OK};
     const struct rec_publication *first;
@@ -135,12 +135,12 @@
                     first->version == p->base_version + 1;
 
         o.result = same ? CONTROL_OK : CONTROL_REUSED;
-        o.of = same ? first : NULL;
+        o.publication = same ? first : NULL;
         o.resend = same;
     }
     else if (p->base_version < f->version) {
         o.result = CONTROL_TAKEN;
-        o.of = fsm_version(f, p->base_version + 1);
+        o.publication = fsm_publication(f, p->base_version + 1);
     }
     else if (p->base_version > f->version) {
         o.result = CONTROL_BAD_PUBLICATION;
@@ -226,7 +226,7 @@
 fsm_publish(struct fsm *f, uint64_t index, uint64_t term,
             const struct rec_publish *p)
 {
-    struct fsm_outcome o = fsm_judge(f, p);
+    struct fsm_outcome o = fsm_check_publish(f, p);
     struct delta d = {
         .prefix = p->prefix,
         .suffix = p->suffix,
@@ -238,7 +238,7 @@
     if (o.result != CONTROL_OK || o.resend) {
         return o;
     }
-    text = delta_apply(fsm_text(f, f->version), &d);
+    text = delta_apply(fsm_version_text(f, f->version), &d);
     if (text == NULL) {
         o.result = CONTROL_BAD_PUBLICATION;
         return o;
@@ -246,7 +246,7 @@
     f->version++;
     f->rank = p->rank != 0 ? p->rank : f->rank;
     add_text(f, f->version, text);
-    o.of = add_publication(f, index, term, p, text->size);
+    o.publication = add_publication(f, index, term, p, text->size);
     return o;
 }
 
@@ -266,7 +266,7 @@
 fsm_recover(struct fsm *f, uint64_t index, uint64_t term, uint64_t time_us)
 {
     static const char note[] = "recovered from one member";
-    struct blob *text = blob_ref(fsm_text(f, f->version));
+    struct blob *text = blob_ref(fsm_version_text(f, f->version));
     struct rec_publish p = {
         .request_id = key_id_of(note),
         .request_text = blob_new("", 0),
@@ -280,7 +280,7 @@
     }
     p.digest = delta_digest(text);
     forget_history(f);
-    f->version += RECOVERY_GAP;
+    f->version += RECOVERY_VERSION_GAP;
     (void)add_publication(f, index, term, &p, text->size);
     add_text(f, f->version, text);
     blob_unref(p.request_text);
--- a/src/fsm.h
+++ b/src/fsm.h
@@ -15,7 +15,7 @@
     CONTROL_MEMBERS_MAX = 9,
     CONFIG_TEXT_MAX = 2 * 1024 * 1024, /* bytes of a configuration */
     REQUEST_ID_MAX = 64,               /* characters */
-    RECOVERY_GAP = 1000000,            /* versions left out by a recovery */
+    RECOVERY_VERSION_GAP = 1000000,    /* versions left out by a recovery */
 };
 
 /**
@@ -45,16 +45,18 @@
 /** struct fsm_outcome - what became of a publication */
 struct fsm_outcome {
     enum control_result result;
-    const struct rec_publication *of; /* it, or who took the base; or NULL */
+    const struct rec_publication
+        *publication; /* it, or who took the base; or NULL */
     bool resend;
 };
 
 void fsm_init(struct fsm *f, struct fsm_limits limits);
 void fsm_free(struct fsm *f);
 
-/** fsm_judge() - what becomes of a publication, as far as it is settled: OK
- * with @of NULL means that it would be accepted now */
-struct fsm_outcome fsm_judge(const struct fsm *f, const struct rec_publish *p);
+/** fsm_check_publish() - what becomes of a publication, as far as it is
+ * settled: OK with @of NULL means that it would be accepted now */
+struct fsm_outcome fsm_check_publish(const struct fsm *f,
+                                     const struct rec_publish *p);
 
 /** fsm_publish() - applies a committed publication */
 struct fsm_outcome fsm_publish(struct fsm *f, uint64_t index, uint64_t term,
@@ -69,12 +71,12 @@
 void fsm_recover(struct fsm *f, uint64_t index, uint64_t term,
                  uint64_t time_us);
 
-/** fsm_version() - the publication of that version, or NULL */
-const struct rec_publication *fsm_version(const struct fsm *f,
-                                          uint64_t version);
+/** fsm_publication() - the publication of that version, or NULL */
+const struct rec_publication *fsm_publication(const struct fsm *f,
+                                              uint64_t version);
 
-/** fsm_text() - text of that version, or NULL when it is not kept */
-struct blob *fsm_text(const struct fsm *f, uint64_t version);
+/** fsm_version_text() - text of that version, or NULL when it is not kept */
+struct blob *fsm_version_text(const struct fsm *f, uint64_t version);
 
 /** fsm_encode() - the state at that position as a snapshot */
 struct blob *fsm_encode(const struct fsm *f, uint64_t index, uint64_t term);
--- a/src/quorum.c
+++ b/src/quorum.c
@@ -16,7 +16,7 @@
 }
 
 const struct rec_control_member *
-quorum_member(const struct control *c, struct name name)
+quorum_find_member(const struct control *c, struct name name)
 {
     return find_member(&c->members, name);
 }
@@ -25,9 +25,9 @@
  * voted for.  Counted as before, it could help to elect a leader that lacks an
  * accepted change.  So a vote belongs to a name and a data folder. */
 bool
-quorum_self_votes(const struct control *c)
+quorum_self_is_voter(const struct control *c)
 {
-    const struct rec_control_member *m = quorum_member(c, c->opts.self);
+    const struct rec_control_member *m = quorum_find_member(c, c->opts.self);
 
     return m != NULL && m->voter != 0 &&
            (m->disk == c->opts.disk ||
@@ -35,7 +35,7 @@
 }
 
 struct progress *
-quorum_peer(struct control *c, struct name name)
+quorum_progress(struct control *c, struct name name)
 {
     struct progress *unused = NULL;
 
@@ -45,26 +45,26 @@
         if (name_equal(p->name, name)) {
             return p;
         }
-        if (quorum_member(c, p->name) == NULL) {
+        if (quorum_find_member(c, p->name) == NULL) {
             unused = p;
         }
     }
-    if (unused == NULL || quorum_member(c, name) == NULL ||
+    if (unused == NULL || quorum_find_member(c, name) == NULL ||
         name_equal(name, c->opts.self)) {
         return NULL;
     }
     blob_unref(unused->snapshot);
     memset(unused, 0, sizeof(*unused));
     unused->name = name;
-    unused->next = clog_last(&c->log) + 1;
-    unused->probing = true;
+    unused->next_index = clog_last(&c->log) + 1;
+    unused->is_probing = true;
     return unused;
 }
 
 bool
-quorum_counts(const struct control *c, const struct progress *p)
+quorum_peer_is_voter(const struct control *c, const struct progress *p)
 {
-    const struct rec_control_member *m = quorum_member(c, p->name);
+    const struct rec_control_member *m = quorum_find_member(c, p->name);
 
     return m != NULL && m->voter != 0 &&
            (m->disk == p->disk ||
@@ -72,7 +72,7 @@
 }
 
 size_t
-quorum_size(const struct control *c)
+quorum_majority(const struct control *c)
 {
     size_t voters = 0;
 
@@ -83,18 +83,18 @@
 }
 
 bool
-quorum_granted(const struct control *c)
+quorum_votes_won(const struct control *c)
 {
-    bool own = c->pre || c->hard_seq <= c->saved ||
+    bool own = c->pre || c->hard_state_seq <= c->synced_seq ||
                c->opts.breaks[CONTROL_BREAK_ACK_BEFORE_SYNC];
-    size_t votes = own && quorum_self_votes(c) ? 1 : 0;
+    size_t votes = own && quorum_self_is_voter(c) ? 1 : 0;
 
     for (size_t i = 0; i < PEERS_MAX; i++) {
         const struct progress *p = &c->peers[i];
 
-        votes += p->granted && quorum_counts(c, p) ? 1 : 0;
+        votes += p->vote_granted && quorum_peer_is_voter(c, p) ? 1 : 0;
     }
-    return votes >= quorum_size(c);
+    return votes >= quorum_majority(c);
 }
 
 static int
@@ -110,7 +110,7 @@
 static uint64_t
 majority(const struct control *c, uint64_t values[], size_t n)
 {
-    size_t size = quorum_size(c);
+    size_t size = quorum_majority(c);
 
     if (n < size) {
         return 0;
@@ -120,36 +120,36 @@
 }
 
 uint64_t
-quorum_index(const struct control *c)
+quorum_match_index(const struct control *c)
 {
     uint64_t values[CONTROL_MEMBERS_MAX + 1];
     size_t n = 0;
 
-    if (quorum_self_votes(c)) {
+    if (quorum_self_is_voter(c)) {
         values[n++] = c->opts.breaks[CONTROL_BREAK_ACK_BEFORE_SYNC]
                           ? clog_last(&c->log)
                           : c->log.durable;
     }
     for (size_t i = 0; i < PEERS_MAX; i++) {
-        if (quorum_counts(c, &c->peers[i])) {
-            values[n++] = c->peers[i].match;
+        if (quorum_peer_is_voter(c, &c->peers[i])) {
+            values[n++] = c->peers[i].match_index;
         }
     }
     return majority(c, values, n);
 }
 
 uint64_t
-quorum_round(const struct control *c)
+quorum_acked_round(const struct control *c)
 {
     uint64_t values[CONTROL_MEMBERS_MAX + 1];
     size_t n = 0;
 
-    if (quorum_self_votes(c)) {
-        values[n++] = c->round;
+    if (quorum_self_is_voter(c)) {
+        values[n++] = c->heartbeat_round;
     }
     for (size_t i = 0; i < PEERS_MAX; i++) {
-        if (quorum_counts(c, &c->peers[i])) {
-            values[n++] = c->peers[i].round;
+        if (quorum_peer_is_voter(c, &c->peers[i])) {
+            values[n++] = c->peers[i].acked_round;
         }
     }
     return majority(c, values, n);
@@ -158,21 +158,21 @@
 static size_t
 heard_voters(const struct control *c, int64_t since_us, struct name except)
 {
-    size_t n = quorum_self_votes(c) && !name_equal(c->opts.self, except);
+    size_t n = quorum_self_is_voter(c) && !name_equal(c->opts.self, except);
 
     for (size_t i = 0; i < PEERS_MAX; i++) {
         const struct progress *p = &c->peers[i];
 
-        n += quorum_counts(c, p) && p->heard_us >= since_us &&
+        n += quorum_peer_is_voter(c, p) && p->last_heard_us >= since_us &&
              !name_equal(p->name, except);
     }
     return n;
 }
 
 bool
-quorum_heard(const struct control *c, int64_t since_us)
+quorum_is_active(const struct control *c, int64_t since_us)
 {
-    return heard_voters(c, since_us, name_of("")) >= quorum_size(c);
+    return heard_voters(c, since_us, name_of("")) >= quorum_majority(c);
 }
 
 void
@@ -193,9 +193,9 @@
 }
 
 void
-quorum_recall_members(struct control *c)
+quorum_reload_members(struct control *c)
 {
-    for (uint64_t i = clog_last(&c->log); i > c->applied; i--) {
+    for (uint64_t i = clog_last(&c->log); i > c->applied_index; i--) {
         const struct rec_log_entry *e = clog_at(&c->log, i);
         struct msg m;
 
@@ -210,7 +210,7 @@
         }
         msg_free(&m);
     }
-    quorum_set_members(c, &c->fsm.members, c->applied);
+    quorum_set_members(c, &c->fsm.members, c->applied_index);
 }
 
 static enum control_result
@@ -223,7 +223,7 @@
         *detail = "member and address are needed";
         return CONTROL_BAD_CHANGE;
     }
-    if (quorum_member(c, change->member) != NULL) {
+    if (quorum_find_member(c, change->member) != NULL) {
         *detail = "it is a member already";
         return CONTROL_BAD_CHANGE;
     }
@@ -243,8 +243,8 @@
 static bool
 can_spare(const struct control *c, struct name name)
 {
-    const struct rec_control_member *m = quorum_member(c, name);
-    int64_t since = c->now.mono_us - c->opts.election_us;
+    const struct rec_control_member *m = quorum_find_member(c, name);
+    int64_t since = c->now.mono_us - c->opts.election_timeout_us;
     size_t voters = 0;
 
     if (m->voter == 0) {
@@ -267,7 +267,7 @@
         return CONTROL_BAD_CHANGE;
     }
     if (name_equal(change->member, c->opts.self)) {
-        c->handing_over = true;
+        c->transfer_requested = true;
         *detail = "it leads and hands over now; send the change again";
         return CONTROL_NO_LEADER;
     }
@@ -290,12 +290,13 @@
  * its own term: otherwise majorities of the old and the new members need not
  * overlap, and two leaders could be elected in one term. */
 enum control_result
-quorum_change(struct control *c, const struct cev_change *change,
-              struct rec_membership *out, const char **detail)
+quorum_prepare_change(struct control *c, const struct cev_change *change,
+                      struct rec_membership *out, const char **detail)
 {
     enum control_result result;
 
-    if (c->members_index > c->commit || c->first_of_term > c->commit) {
+    if (c->members_index > c->commit_index ||
+        c->term_start_index > c->commit_index) {
         return CONTROL_IN_PROGRESS;
     }
     *out = membership_copy(&c->members);
@@ -312,15 +313,16 @@
 }
 
 void
-quorum_promote(struct control *c, const struct progress *p)
+quorum_promote_learner(struct control *c, const struct progress *p)
 {
-    const struct rec_control_member *m = quorum_member(c, p->name);
+    const struct rec_control_member *m = quorum_find_member(c, p->name);
     struct msg data = {.kind = MSG_MEMBERSHIP};
     struct rec_control_member *changed;
 
     if (m == NULL || m->voter != 0 || p->disk == 0 ||
-        c->members_index > c->commit || c->first_of_term > c->commit ||
-        p->match < c->commit || c->stopping) {
+        c->members_index > c->commit_index ||
+        c->term_start_index > c->commit_index ||
+        p->match_index < c->commit_index || c->stopping) {
         return;
     }
     data.u.membership = membership_copy(&c->members);
@@ -328,7 +330,7 @@
     changed->voter = 1;
     changed->disk = p->disk;
     control_log(c, LOG_NOTICE, CONTROL_REASON_PROMOTED, p->name,
-                "caught up at %llu", (unsigned long long)p->match);
+                "caught up at %llu", (unsigned long long)p->match_index);
     (void)replicate_propose(c, LOG_KIND_MEMBERS, &data);
     msg_free(&data);
 }
--- a/src/receive.c
+++ b/src/receive.c
@@ -10,7 +10,7 @@
 {
     struct msg m = {.kind = MSG_APPEND_REPLY};
     struct rec_append_reply *r = &m.u.append_reply;
-    uint64_t seq = c->hard_seq;
+    uint64_t seq = c->hard_state_seq;
 
     r->term = c->term;
     r->ok = ok ? 1 : 0;
@@ -36,7 +36,7 @@
                     "leads in our own term %llu", (unsigned long long)term);
         return false;
     }
-    election_follow(c, term, from);
+    election_become_follower(c, term, from);
     return true;
 }
 
@@ -65,7 +65,8 @@
         return last + 1;
     }
     term = clog_term(&c->log, prev);
-    while (prev > c->commit + 1 && clog_term(&c->log, prev - 1) == term) {
+    while (prev > c->commit_index + 1 &&
+           clog_term(&c->log, prev - 1) == term) {
         prev--;
     }
     return prev;
@@ -78,14 +79,14 @@
         &control_effects_add(c->fx, CE_TRUNCATE)->u.truncate;
 
     t->index = index;
-    c->dirty = true;
+    c->needs_sync = true;
     control_log(c, LOG_NOTICE, CONTROL_REASON_CUT, c->leader,
                 "entries %llu to %llu were never committed",
                 (unsigned long long)index,
                 (unsigned long long)clog_last(&c->log));
     clog_cut(&c->log, index);
     if (c->members_index >= index) {
-        quorum_recall_members(c);
+        quorum_reload_members(c);
     }
 }
 
@@ -118,7 +119,7 @@
         }
         if (e->index > c->log.base &&
             clog_term(&c->log, e->index) != e->term) {
-            if (e->index <= c->commit) {
+            if (e->index <= c->commit_index) {
                 return false;
             }
             cut_tail(c, e->index);
@@ -126,7 +127,7 @@
         }
         i++;
     }
-    replicate_add(c, a->entries + i, a->n_entries - i);
+    replicate_append(c, a->entries + i, a->n_entries - i);
     for (; i < a->n_entries; i++) {
         note_members(c, &a->entries[i]);
     }
@@ -141,8 +142,8 @@
     if (c->opts.breaks[CONTROL_BREAK_SERVE_UNCOMMITTED]) {
         known = match;
     }
-    if (known > c->commit) {
-        c->commit = known;
+    if (known > c->commit_index) {
+        c->commit_index = known;
     }
 }
 
@@ -189,7 +190,7 @@
     r->offset = offset;
     r->round = s->round;
     r->disk = c->opts.disk;
-    control_send(c, to, &m, seq > c->hard_seq ? seq : c->hard_seq);
+    control_send(c, to, &m, seq > c->hard_state_seq ? seq : c->hard_state_seq);
 }
 
 static void
@@ -224,11 +225,11 @@
             abort();
         }
     }
-    if (s->offset == in->got) {
-        memcpy(in->data + in->got, s->data->data, s->data->size);
-        in->got += s->data->size;
+    if (s->offset == in->received) {
+        memcpy(in->data + in->received, s->data->data, s->data->size);
+        in->received += s->data->size;
     }
-    return in->got;
+    return in->received;
 }
 
 static bool
@@ -253,10 +254,10 @@
     else {
         clog_reset(&c->log, index, term);
     }
-    c->commit = index;
-    c->applied = index;
+    c->commit_index = index;
+    c->applied_index = index;
     apply_save_snapshot(c, state, index, term, !agrees);
-    quorum_recall_members(c);
+    quorum_reload_members(c);
     control_log(c, LOG_NOTICE, CONTROL_REASON_INSTALLED, from,
                 "at %llu, version %llu", (unsigned long long)index,
                 (unsigned long long)c->fsm.version);
@@ -277,7 +278,7 @@
         reply_snapshot(c, from, s, 0, 0);
         return;
     }
-    if (s->index <= c->commit) {
+    if (s->index <= c->commit_index) {
         reply_snapshot(c, from, s, s->size, 0);
         return;
     }
@@ -287,7 +288,7 @@
         return;
     }
     reply_snapshot(c, from, s, wanted,
-                   wanted == s->size ? c->snapshot_seq : 0);
+                   wanted == s->size ? c->snapshot_sync_seq : 0);
     if (wanted == s->size) {
         drop_incoming(c);
     }
--- a/src/replicate.c
+++ b/src/replicate.c
@@ -18,7 +18,8 @@
 }
 
 void
-replicate_add(struct control *c, const struct rec_log_entry *entries, size_t n)
+replicate_append(struct control *c, const struct rec_log_entry *entries,
+                 size_t n)
 {
     struct ce_append *a;
 
@@ -30,14 +31,14 @@
     if (a->entries == NULL) {
         abort();
     }
-    a->n = n;
+    a->n_entries = n;
     for (size_t i = 0; i < n; i++) {
         a->entries[i] = entries[i];
         (void)blob_ref(entries[i].data);
         (void)blob_ref(entries[i].data);
-        clog_add(&c->log, &entries[i], control_next_seq(c));
+        clog_add(&c->log, &entries[i], control_next_sync_seq(c));
     }
-    c->dirty = true;
+    c->needs_sync = true;
 }
 
 static void
@@ -50,12 +51,13 @@
     size_t n = 0;
 
     a->term = c->term;
-    a->prev_index = p->next - 1;
-    a->prev_term = clog_term(&c->log, p->next - 1);
-    a->commit = c->commit;
-    a->round = c->round;
-    while (n < most && p->next + n <= last && bytes < c->opts.batch) {
-        const struct rec_log_entry *e = clog_at(&c->log, p->next + n);
+    a->prev_index = p->next_index - 1;
+    a->prev_term = clog_term(&c->log, p->next_index - 1);
+    a->commit = c->commit_index;
+    a->round = c->heartbeat_round;
+    while (n < most && p->next_index + n <= last &&
+           bytes < c->opts.append_batch_bytes) {
+        const struct rec_log_entry *e = clog_at(&c->log, p->next_index + n);
 
         bytes += e->data != NULL ? e->data->size : 0;
         n++;
@@ -67,12 +69,12 @@
         }
     }
     for (size_t i = 0; i < n; i++) {
-        a->entries[i] = *clog_at(&c->log, p->next + i);
+        a->entries[i] = *clog_at(&c->log, p->next_index + i);
         (void)blob_ref(a->entries[i].data);
     }
     a->n_entries = n;
-    p->next += n;
-    control_send(c, p->name, &m, c->hard_seq);
+    p->next_index += n;
+    control_send(c, p->name, &m, c->hard_state_seq);
 }
 
 static void
@@ -80,18 +82,20 @@
 {
     struct msg m = {.kind = MSG_SNAPSHOT};
     struct rec_snapshot *s = &m.u.snapshot;
-    size_t left = p->snapshot->size - p->snapshot_offset;
-    size_t size = left < c->opts.chunk ? left : c->opts.chunk;
+    size_t left = p->snapshot->size - p->next_offset;
+    size_t size = left < c->opts.snapshot_chunk_bytes
+                      ? left
+                      : c->opts.snapshot_chunk_bytes;
 
     s->term = c->term;
     s->index = p->snapshot_index;
     s->index_term = p->snapshot_term;
     s->size = p->snapshot->size;
-    s->offset = p->snapshot_offset;
-    s->round = c->round;
-    s->data = blob_new(p->snapshot->data + p->snapshot_offset, size);
-    p->sent_us = c->now.mono_us;
-    control_send(c, p->name, &m, c->hard_seq);
+    s->offset = p->next_offset;
+    s->round = c->heartbeat_round;
+    s->data = blob_new(p->snapshot->data + p->next_offset, size);
+    p->chunk_sent_us = c->now.mono_us;
+    control_send(c, p->name, &m, c->hard_state_seq);
 }
 
 static void
@@ -99,8 +103,8 @@
 {
     blob_unref(p->snapshot);
     p->snapshot = NULL;
-    p->snapshot_offset = 0;
-    p->sent_us = 0;
+    p->next_offset = 0;
+    p->chunk_sent_us = 0;
 }
 
 static void
@@ -119,14 +123,15 @@
 {
     uint64_t last = clog_last(&c->log);
 
-    if (p->snapshot != NULL || p->next > last || p->probing) {
+    if (p->snapshot != NULL || p->next_index > last || p->is_probing) {
         return;
     }
-    if (p->next <= c->log.base) {
+    if (p->next_index <= c->log.base) {
         begin_snapshot(c, p);
         return;
     }
-    while (p->next <= last && p->next - p->match <= IN_FLIGHT_MAX) {
+    while (p->next_index <= last &&
+           p->next_index - p->match_index <= IN_FLIGHT_MAX) {
         send_append(c, p, IN_FLIGHT_MAX);
     }
 }
@@ -134,7 +139,7 @@
 static void
 probe(struct control *c, struct progress *p)
 {
-    if (p->snapshot == NULL && p->next <= c->log.base) {
+    if (p->snapshot == NULL && p->next_index <= c->log.base) {
         begin_snapshot(c, p);
         return;
     }
@@ -146,7 +151,7 @@
            void (*visit)(struct control *c, struct progress *p))
 {
     for (size_t i = 0; i < c->members.n_members; i++) {
-        struct progress *p = quorum_peer(c, c->members.members[i].name);
+        struct progress *p = quorum_progress(c, c->members.members[i].name);
 
         if (p != NULL) {
             visit(c, p);
@@ -165,26 +170,27 @@
         .data = data != NULL ? encode(data) : NULL,
     };
 
-    replicate_add(c, &e, 1);
+    replicate_append(c, &e, 1);
     blob_unref(e.data);
     if (kind == LOG_KIND_MEMBERS) {
         quorum_set_members(c, &data->u.membership, e.index);
     }
     for_others(c, send_more);
-    replicate_advance(c);
+    replicate_advance_commit(c);
     return e.index;
 }
 
 static void
 beat(struct control *c, struct progress *p)
 {
-    bool overdue = c->now.mono_us - p->sent_us >= 2 * c->opts.heartbeat_us;
+    bool overdue =
+        c->now.mono_us - p->chunk_sent_us >= 2 * c->opts.heartbeat_interval_us;
 
     if (p->snapshot != NULL && overdue) {
         send_chunk(c, p);
         return;
     }
-    if (p->snapshot != NULL || p->probing) {
+    if (p->snapshot != NULL || p->is_probing) {
         probe(c, p);
         return;
     }
@@ -194,8 +200,8 @@
 void
 replicate_heartbeat(struct control *c)
 {
-    c->round++;
-    c->round_us = c->now.mono_us;
+    c->heartbeat_round++;
+    c->round_start_us = c->now.mono_us;
     for_others(c, beat);
 }
 
@@ -203,28 +209,28 @@
 restart_progress(struct control *c, struct progress *p)
 {
     end_snapshot(p);
-    p->next = clog_last(&c->log) + 1;
-    p->match = 0;
-    p->round = 0;
-    p->probing = true;
+    p->next_index = clog_last(&c->log) + 1;
+    p->match_index = 0;
+    p->acked_round = 0;
+    p->is_probing = true;
 }
 
 void
-replicate_start_leading(struct control *c)
+replicate_init_leader(struct control *c)
 {
     for (size_t i = 0; i < PEERS_MAX; i++) {
         restart_progress(c, &c->peers[i]);
     }
-    c->first_of_term = clog_last(&c->log) + 1;
+    c->term_start_index = clog_last(&c->log) + 1;
     (void)replicate_propose(c, LOG_KIND_NOOP, NULL);
-    c->heartbeat_us = c->now.mono_us + c->opts.heartbeat_us;
+    c->heartbeat_due_us = c->now.mono_us + c->opts.heartbeat_interval_us;
     replicate_heartbeat(c);
 }
 
 static void
 announce_commit(struct control *c, struct progress *p)
 {
-    if (p->snapshot == NULL && !p->probing) {
+    if (p->snapshot == NULL && !p->is_probing) {
         send_append(c, p, 0);
     }
 }
@@ -233,18 +239,18 @@
  * then, too.  An older entry on a majority could still be replaced by a leader
  * that never saw it. */
 void
-replicate_advance(struct control *c)
+replicate_advance_commit(struct control *c)
 {
     uint64_t index;
 
     if (c->role != CONTROL_LEADER) {
         return;
     }
-    index = quorum_index(c);
-    if (index <= c->commit || clog_term(&c->log, index) != c->term) {
+    index = quorum_match_index(c);
+    if (index <= c->commit_index || clog_term(&c->log, index) != c->term) {
         return;
     }
-    c->commit = index;
+    c->commit_index = index;
     for_others(c, announce_commit);
 }
 
@@ -252,8 +258,8 @@
 static struct progress *
 reply_from(struct control *c, struct name from, uint64_t term, uint64_t disk)
 {
-    struct progress *p = quorum_peer(c, from);
-    const struct rec_control_member *m = quorum_member(c, from);
+    struct progress *p = quorum_progress(c, from);
+    const struct rec_control_member *m = quorum_find_member(c, from);
 
     if (p == NULL || c->role != CONTROL_LEADER || term < c->term) {
         return NULL;
@@ -266,12 +272,12 @@
         restart_progress(c, p);
         p->disk = disk;
     }
-    p->heard_us = c->now.mono_us;
+    p->last_heard_us = c->now.mono_us;
     if (term > c->term) {
         /* Not for one that came back with another disk: until an operator
          * replaces it, it must not move the leader. */
-        if (quorum_counts(c, p) || (m != NULL && m->voter == 0)) {
-            election_outbid(c, term);
+        if (quorum_peer_is_voter(c, p) || (m != NULL && m->voter == 0)) {
+            election_campaign_above(c, term);
         }
         return NULL;
     }
@@ -284,41 +290,41 @@
     if (match > clog_last(&c->log)) {
         return;
     }
-    if (match > p->match) {
-        p->match = match;
+    if (match > p->match_index) {
+        p->match_index = match;
     }
-    if (p->next <= p->match) {
-        p->next = p->match + 1;
+    if (p->next_index <= p->match_index) {
+        p->next_index = p->match_index + 1;
     }
-    p->probing = false;
-    replicate_advance(c);
-    quorum_promote(c, p);
+    p->is_probing = false;
+    replicate_advance_commit(c);
+    quorum_promote_learner(c, p);
     send_more(c, p);
 }
 
 void
-replicate_on_reply(struct control *c, struct name from,
-                   const struct rec_append_reply *r)
+replicate_on_append_reply(struct control *c, struct name from,
+                          const struct rec_append_reply *r)
 {
     struct progress *p = reply_from(c, from, r->term, r->disk);
 
     if (p == NULL) {
         return;
     }
-    if (r->round > p->round && r->round <= c->round) {
-        p->round = r->round;
+    if (r->round > p->acked_round && r->round <= c->heartbeat_round) {
+        p->acked_round = r->round;
     }
     if (r->ok != 0) {
         confirmed(c, p, r->match);
         return;
     }
-    if (p->snapshot != NULL || r->hint > p->next) {
+    if (p->snapshot != NULL || r->hint > p->next_index) {
         return;
     }
     /* The hint may lie before what the member confirmed: its entries of one
      * term are given up as a whole, though the first of them agree. */
-    p->next = r->hint > p->match ? r->hint : p->match + 1;
-    p->probing = true;
+    p->next_index = r->hint > p->match_index ? r->hint : p->match_index + 1;
+    p->is_probing = true;
     probe(c, p);
 }
 
@@ -331,8 +337,8 @@
     if (p == NULL) {
         return;
     }
-    if (r->round > p->round && r->round <= c->round) {
-        p->round = r->round;
+    if (r->round > p->acked_round && r->round <= c->heartbeat_round) {
+        p->acked_round = r->round;
     }
     if (p->snapshot == NULL || r->index != p->snapshot_index ||
         r->offset > p->snapshot->size) {
@@ -343,8 +349,8 @@
         confirmed(c, p, r->index);
         return;
     }
-    if (r->offset != p->snapshot_offset) {
-        p->snapshot_offset = r->offset;
+    if (r->offset != p->next_offset) {
+        p->next_offset = r->offset;
         send_chunk(c, p);
     }
 }
--- a/src/scenario.c
+++ b/src/scenario.c
@@ -165,9 +165,9 @@
     o.entry.claim_window_us = CLAIM_WINDOW_US;
     o.entry.clock_skew_us = 1 * USEC_PER_SEC;
     o.entry.answer_keep_us = 10 * USEC_PER_SEC;
-    o.control.request_us = 1 * USEC_PER_SEC;
+    o.control.request_timeout_us = 1 * USEC_PER_SEC;
     o.control.snapshot_entries = SNAPSHOT_ENTRIES;
-    o.control.trail = 1;
+    o.control.log_tail_entries = 1;
     o.service.deadline_us = 5 * USEC_PER_SEC;
     o.service.deadline_max_us = 6 * USEC_PER_SEC;
     if (mutant >= 0) {
--- a/src/serve.c
+++ b/src/serve.c
@@ -29,8 +29,8 @@
 attach(struct ce_reply *r, const struct rec_publication *p)
 {
     if (p != NULL) {
-        r->of.kind = MSG_PUBLICATION;
-        r->of.u.publication = *p;
+        r->publication.kind = MSG_PUBLICATION;
+        r->publication.u.publication = *p;
         (void)blob_ref(p->request_text);
         (void)blob_ref(p->summary);
     }
@@ -41,7 +41,7 @@
 {
     struct ce_reply *r = reply(c, request, o->result, "");
 
-    attach(r, o->of);
+    attach(r, o->publication);
     r->resend = o->resend;
     c->counters.resent += o->resend ? 1 : 0;
 }
@@ -49,7 +49,7 @@
 static void
 send_elsewhere(struct control *c, uint64_t request)
 {
-    const struct rec_control_member *m = quorum_member(c, c->leader);
+    const struct rec_control_member *m = quorum_find_member(c, c->leader);
     struct ce_reply *r;
 
     if (m == NULL || m->http.s[0] == '\0' ||
@@ -78,8 +78,8 @@
     p = &c->pending[c->n_pending++];
     memset(p, 0, sizeof(*p));
     p->kind = kind;
-    p->request = request;
-    p->deadline_us = c->now.mono_us + c->opts.request_us;
+    p->request_id = request;
+    p->deadline_us = c->now.mono_us + c->opts.request_timeout_us;
     return p;
 }
 
@@ -96,12 +96,12 @@
 {
     struct pending *p = add_pending(c, PENDING_ENTRY, request);
 
-    p->index = index;
+    p->wait_index = index;
     p->term = c->term;
 }
 
 bool
-serve_busy(const struct control *c)
+serve_has_pending_entry(const struct control *c)
 {
     for (size_t i = 0; i < c->n_pending; i++) {
         if (c->pending[i].kind == PENDING_ENTRY) {
@@ -168,7 +168,7 @@
     /* A ranked one may be applied behind others that are not known yet, so it
      * can't build on any text. */
     struct blob *base =
-        p->rank == 0 ? fsm_text(&c->fsm, p->base_version) : NULL;
+        p->rank == 0 ? fsm_version_text(&c->fsm, p->base_version) : NULL;
     struct delta d = delta_make(base, p->config);
 
     r->base_version = p->base_version;
@@ -211,7 +211,7 @@
         return;
     }
     m = publish_entry(c, p);
-    o = fsm_judge(&c->fsm, &m.u.publish);
+    o = fsm_check_publish(&c->fsm, &m.u.publish);
     if (!c->opts.breaks[CONTROL_BREAK_FORGET_REQUESTS] &&
         (o.resend || o.result == CONTROL_REUSED ||
          o.result == CONTROL_TAKEN)) {
@@ -237,7 +237,7 @@
     if (!takes_changes(c, change->request)) {
         return;
     }
-    result = quorum_change(c, change, &m.u.membership, &detail);
+    result = quorum_prepare_change(c, change, &m.u.membership, &detail);
     if (result != CONTROL_OK) {
         (void)reply(c, change->request, result, detail);
         return;
@@ -248,22 +248,22 @@
 }
 
 void
-serve_applied(struct control *c, uint64_t index, uint64_t term,
-              const struct fsm_outcome *o)
+serve_entry_applied(struct control *c, uint64_t index, uint64_t term,
+                    const struct fsm_outcome *o)
 {
     for (size_t i = c->n_pending; i > 0; i--) {
         struct pending *p = &c->pending[i - 1];
 
-        if (p->kind != PENDING_ENTRY || p->index != index) {
+        if (p->kind != PENDING_ENTRY || p->wait_index != index) {
             continue;
         }
-        histogram_add(&c->publish,
-                      c->now.mono_us - p->deadline_us + c->opts.request_us);
+        histogram_add(&c->publish_latency, c->now.mono_us - p->deadline_us +
+                                               c->opts.request_timeout_us);
         if (p->term == term) {
-            reply_outcome(c, p->request, o);
+            reply_outcome(c, p->request_id, o);
         }
         else {
-            (void)reply(c, p->request, CONTROL_NO_LEADER,
+            (void)reply(c, p->request_id, CONTROL_NO_LEADER,
                         "the leader changed before it was accepted");
         }
         drop_pending(c, i - 1);
@@ -284,8 +284,8 @@
 read_config(struct control *c, const struct cev_read *r)
 {
     uint64_t version = r->version != 0 ? r->version : c->fsm.version;
-    const struct rec_publication *p = fsm_version(&c->fsm, version);
-    struct blob *config = fsm_text(&c->fsm, version);
+    const struct rec_publication *p = fsm_publication(&c->fsm, version);
+    struct blob *config = fsm_version_text(&c->fsm, version);
     struct ce_reply *answer;
 
     if (version > c->fsm.version) {
@@ -307,7 +307,7 @@
 static void
 answer_read(struct control *c, const struct cev_read *r)
 {
-    switch (r->what) {
+    switch (r->kind) {
     case READ_CONFIG:
         read_config(c, r);
         break;
@@ -331,13 +331,15 @@
 static void
 await_round(struct control *c, struct pending *p)
 {
-    p->index = c->commit > c->first_of_term ? c->commit : c->first_of_term;
-    p->round = c->round + 1;
-    if (c->now.mono_us - c->round_us >= ROUND_GAP_US) {
+    p->wait_index = c->commit_index > c->term_start_index
+                        ? c->commit_index
+                        : c->term_start_index;
+    p->round = c->heartbeat_round + 1;
+    if (c->now.mono_us - c->round_start_us >= ROUND_GAP_US) {
         replicate_heartbeat(c);
     }
-    else if (c->heartbeat_us > c->round_us + ROUND_GAP_US) {
-        c->heartbeat_us = c->round_us + ROUND_GAP_US;
+    else if (c->heartbeat_due_us > c->round_start_us + ROUND_GAP_US) {
+        c->heartbeat_due_us = c->round_start_us + ROUND_GAP_US;
     }
 }
 
@@ -346,7 +348,7 @@
 {
     struct pending *p;
 
-    if (r->local || r->what == READ_STATE ||
+    if (r->local || r->kind == READ_STATE ||
         (c->opts.breaks[CONTROL_BREAK_READ_WITHOUT_ROUND] &&
          c->role == CONTROL_LEADER)) {
         answer_read(c, r);
@@ -371,14 +373,14 @@
 {
     struct pending *p;
 
-    if (c->role != CONTROL_LEADER || quorum_member(c, from) == NULL) {
+    if (c->role != CONTROL_LEADER || quorum_find_member(c, from) == NULL) {
         return;
     }
-    p = add_pending(c, PENDING_INDEX, 0);
+    p = add_pending(c, PENDING_READ_INDEX, 0);
     if (p == NULL) {
         return;
     }
-    p->asker = from;
+    p->from = from;
     p->nonce = r->nonce;
     await_round(c, p);
 }
@@ -388,8 +390,8 @@
                     const struct rec_read_reply *r)
 {
     (void)from;
-    if (r->nonce == c->serve_nonce && c->serve_index == 0) {
-        c->serve_index = r->index;
+    if (r->nonce == c->startup_nonce && c->startup_read_index == 0) {
+        c->startup_read_index = r->index;
     }
 }
 
@@ -403,8 +405,8 @@
         return;
     }
     m.u.read_reply.nonce = p->nonce;
-    m.u.read_reply.index = p->index;
-    control_send(c, p->asker, &m, c->hard_seq);
+    m.u.read_reply.index = p->wait_index;
+    control_send(c, p->from, &m, c->hard_state_seq);
 }
 
 /* Answers what can be: true when the request is done with. */
@@ -413,20 +415,21 @@
 {
     if (p->kind == PENDING_ENTRY) {
         /* Its entry is behind a snapshot that came in its place. */
-        if (p->index > c->applied && c->now.mono_us < p->deadline_us) {
+        if (p->wait_index > c->applied_index &&
+            c->now.mono_us < p->deadline_us) {
             return false;
         }
-        (void)reply(c, p->request, CONTROL_UNKNOWN,
+        (void)reply(c, p->request_id, CONTROL_UNKNOWN,
                     "send it again with the same request id");
         return true;
     }
     if (c->role != CONTROL_LEADER || c->now.mono_us >= p->deadline_us) {
         if (p->kind == PENDING_READ) {
-            send_elsewhere(c, p->request);
+            send_elsewhere(c, p->request_id);
         }
         return true;
     }
-    if (p->round > round || p->index > c->applied) {
+    if (p->round > round || p->wait_index > c->applied_index) {
         return false;
     }
     answer_confirmed(c, p);
@@ -434,14 +437,14 @@
 }
 
 void
-serve_reads(struct control *c)
+serve_pending(struct control *c)
 {
     uint64_t round;
 
     if (c->n_pending == 0) {
         return;
     }
-    round = quorum_round(c);
+    round = quorum_acked_round(c);
     for (size_t i = c->n_pending; i > 0; i--) {
         struct pending p = c->pending[i - 1];
 
@@ -452,11 +455,11 @@
 }
 
 void
-serve_gone(struct control *c, uint64_t request)
+serve_disconnect(struct control *c, uint64_t request)
 {
     for (size_t i = c->n_pending; i > 0; i--) {
-        if (c->pending[i - 1].request == request &&
-            c->pending[i - 1].kind != PENDING_INDEX) {
+        if (c->pending[i - 1].request_id == request &&
+            c->pending[i - 1].kind != PENDING_READ_INDEX) {
             drop_pending(c, i - 1);
         }
     }
--- a/src/vcontrol.c
+++ b/src/vcontrol.c
@@ -72,8 +72,8 @@
     c->life++;
     o.self = n->control_names[i];
     o.disk = c->disk.found.disk;
-    o.n_known = VCONTROLS;
-    memcpy(o.known, n->control_names, sizeof(n->control_names));
+    o.n_configured = VCONTROLS;
+    memcpy(o.configured, n->control_names, sizeof(n->control_names));
     o.seed = n->opts.seed * 1000 + i + c->life * 131;
     o.breaks[CONTROL_BREAK_ACK_BEFORE_SYNC] =
         n->opts.entry.mutants[MUTANT_ACK_BEFORE_SYNC];
@@ -145,9 +145,9 @@
     h.code = r->result;
     h.epoch = r->version;
     h.index = (uint32_t)strtoul(r->leader.s, NULL, ADDRESS_BASE);
-    if (r->of.kind == MSG_PUBLICATION) {
-        h.incarnation = r->of.u.publication.version;
-        h.blob = blob_ref(r->of.u.publication.request_text);
+    if (r->publication.kind == MSG_PUBLICATION) {
+        h.incarnation = r->publication.u.publication.version;
+        h.blob = blob_ref(r->publication.u.publication.request_text);
     }
     vnet_send(n, &h);
 }
@@ -158,7 +158,7 @@
     struct vcontrol *c = &n->controls[i];
     struct end self = self_of(i);
 
-    if (control_effect_on_disk(f->kind)) {
+    if (control_effect_is_disk(f->kind)) {
         if (f->kind == CE_SYNC) {
             vnet_add(n, HOP_ALARM, self, self, SYNC_US)->life = c->life;
         }
@@ -219,7 +219,7 @@
         if (c->control == NULL) {
             continue;
         }
-        us = control_next_us(c->control);
+        us = control_next_tick_us(c->control);
         us = us > c->tick_us + USEC_PER_MSEC ? us : c->tick_us + USEC_PER_MSEC;
         us = us > c->paused_until_us ? us : c->paused_until_us;
         if (us < first_us) {
--- a/src/vdisk.c
+++ b/src/vdisk.c
@@ -68,7 +68,7 @@
 {
     switch (f->kind) {
     case CE_APPEND:
-        keep_entries(d, f->u.append.entries, f->u.append.n);
+        keep_entries(d, f->u.append.entries, f->u.append.n_entries);
         break;
     case CE_TRUNCATE:
         drop_tail(d, f->u.truncate.index);
--- a/src/vnet.c
+++ b/src/vnet.c
@@ -29,8 +29,8 @@
     };
 
     o.entry.new_region = true;
-    o.control.election_us = 300 * USEC_PER_MSEC;
-    o.control.heartbeat_us = 100 * USEC_PER_MSEC;
+    o.control.election_timeout_us = 300 * USEC_PER_MSEC;
+    o.control.heartbeat_interval_us = 100 * USEC_PER_MSEC;
     o.service = (struct service_conf){
         .name = name_of("allocation"),
         .team = name_of("camps"),
--- a/tests/cluster.c
+++ b/tests/cluster.c
@@ -13,7 +13,7 @@
 static const char FOLLOWER[] = "e1";
 
 uint64_t
-cluster_draw(struct cluster *cl, uint64_t below)
+cluster_random(struct cluster *cl, uint64_t below)
 {
     return random_next(&cl->random) % below;
 }
@@ -48,7 +48,7 @@
         .disk = cl->nodes[i].disk,
         .member = cl->nodes[i].name,
         .region = name_of(REGION),
-        .new_disk = cl->nodes[i].disk_id,
+        .new_disk = cl->nodes[i].disk_identity,
     };
 }
 
@@ -57,7 +57,7 @@
 check_leader(struct cluster *cl, const struct node *n,
              const struct control_view *v)
 {
-    struct name *known = &cl->leaders[v->term % CLUSTER_REQUESTS];
+    struct name *known = &cl->term_leaders[v->term % CLUSTER_REQUESTS_MAX];
 
     if (v->role != CONTROL_LEADER) {
         return;
@@ -81,9 +81,11 @@
 check_committed(struct cluster *cl, const struct node *n,
                 const struct control_view *v)
 {
-    uint64_t from = v->commit > v->base + 40 ? v->commit - 40 : v->base + 1;
+    uint64_t from = v->commit_index > v->log_base + 40 ? v->commit_index - 40
+                                                       : v->log_base + 1;
 
-    for (uint64_t i = from; i <= v->commit && i < CLUSTER_ENTRIES; i++) {
+    for (uint64_t i = from; i <= v->commit_index && i < CLUSTER_ENTRIES_MAX;
+         i++) {
         const struct rec_log_entry *e = control_entry(n->control, i);
         struct rec_log_entry *known = &cl->committed[i];
 
@@ -110,8 +112,8 @@
     uint64_t from = v->version > 40 ? v->version - 40 : 1;
 
     for (uint64_t i = from; i <= v->version; i++) {
-        const struct rec_publication *p = fsm_version(f, i);
-        struct key_id *known = &cl->versions[i % CLUSTER_REQUESTS];
+        const struct rec_publication *p = fsm_publication(f, i);
+        struct key_id *known = &cl->version_requests[i % CLUSTER_REQUESTS_MAX];
 
         if (p == NULL) {
             continue;
@@ -140,20 +142,21 @@
 check_served(struct cluster *cl, struct node *n,
              const struct rec_config_reply *r)
 {
-    const struct key_id *known = &cl->versions[r->version % CLUSTER_REQUESTS];
+    const struct key_id *known =
+        &cl->version_requests[r->version % CLUSTER_REQUESTS_MAX];
     const struct fsm *f = control_fsm(n->control);
 
     if (r->config == NULL) {
         return;
     }
-    if (r->version < n->served) {
+    if (r->version < n->served_version) {
         cluster_violation(cl, "%s served %llu after %llu", n->name.s,
                           (unsigned long long)r->version,
-                          (unsigned long long)n->served);
+                          (unsigned long long)n->served_version);
     }
-    n->served = r->version;
+    n->served_version = r->version;
     if (known->hi == 0 ||
-        !key_id_equal(*known, fsm_version(f, r->version)->request_id)) {
+        !key_id_equal(*known, fsm_publication(f, r->version)->request_id)) {
         cluster_violation(cl, "%s served an uncommitted version", n->name.s);
     }
 }
@@ -164,11 +167,11 @@
 {
     struct blob *text;
 
-    if (r->config == NULL || r->version <= cl->follower_has ||
-        (r->from_version != 0 && r->from_version != cl->follower_has)) {
+    if (r->config == NULL || r->version <= cl->follower_version ||
+        (r->from_version != 0 && r->from_version != cl->follower_version)) {
         return;
     }
-    text = textpack_read_reply(r, cl->follower_text, cl->follower_has);
+    text = textpack_read_reply(r, cl->follower_text, cl->follower_version);
     if (text == NULL) {
         cluster_violation(cl, "the follower cannot read version %llu",
                           (unsigned long long)r->version);
@@ -176,8 +179,8 @@
     }
     blob_unref(cl->follower_text);
     cl->follower_text = text;
-    cl->follower_has = r->version;
-    cl->follower_got++;
+    cl->follower_version = r->version;
+    cl->follower_replies++;
 }
 
 /* The network. */
@@ -199,8 +202,8 @@
     struct msg back;
     msgpack_sbuffer buffer;
 
-    if (cl->n_flights == CLUSTER_FLIGHTS ||
-        cluster_draw(cl, 1000) < cl->loss) {
+    if (cl->n_in_flight == CLUSTER_MESSAGES_MAX ||
+        cluster_random(cl, 1000) < cl->loss_permille) {
         return;
     }
     /* Over the real codec, so that every message is known to survive it. */
@@ -210,9 +213,9 @@
         abort();
     }
     msgpack_sbuffer_destroy(&buffer);
-    f = &cl->flights[cl->n_flights++];
-    f->due_us =
-        cl->now_us + 100 + (int64_t)cluster_draw(cl, (uint64_t)cl->delay_us);
+    f = &cl->in_flight[cl->n_in_flight++];
+    f->due_us = cl->now_us + 100 +
+                (int64_t)cluster_random(cl, (uint64_t)cl->max_delay_us);
     f->order = cl->order++;
     f->from = from;
     f->to = to;
@@ -225,12 +228,12 @@
 {
     int target = node_number(cl, to);
 
-    if (target < 0 && cl->outside != NULL) {
-        cl->outside(cl->outside_ctx, from, to, m);
+    if (target < 0 && cl->send_external != NULL) {
+        cl->send_external(cl->external_ctx, from, to, m);
         return;
     }
     fly(cl, from, target, m);
-    if (cluster_draw(cl, 1000) < cl->doubled) {
+    if (cluster_random(cl, 1000) < cl->duplicate_permille) {
         fly(cl, from, target, m);
     }
 }
@@ -239,7 +242,7 @@
 static void
 check_accepted(struct cluster *cl, const struct answer *a)
 {
-    uint64_t *first = &cl->accepted[a->id];
+    uint64_t *first = &cl->request_versions[a->id];
 
     if (*first != 0 && *first != a->version) {
         cluster_violation(cl, "request id %llu got versions %llu and %llu",
@@ -248,17 +251,17 @@
                           (unsigned long long)a->version);
     }
     *first = a->version;
-    if (a->version > cl->confirmed) {
-        cl->confirmed = a->version;
+    if (a->version > cl->confirmed_version) {
+        cl->confirmed_version = a->version;
     }
 }
 
 static void
 take_reply(struct cluster *cl, const struct ce_reply *r)
 {
-    struct answer *a = &cl->answers[r->request % CLUSTER_REQUESTS];
-    uint64_t version = r->of.kind == MSG_PUBLICATION
-                           ? r->of.u.publication.version
+    struct answer *a = &cl->answers[r->request % CLUSTER_REQUESTS_MAX];
+    uint64_t version = r->publication.kind == MSG_PUBLICATION
+                           ? r->publication.u.publication.version
                            : r->version;
 
     a->done = true;
@@ -269,13 +272,13 @@
         return;
     }
     if (r->config != NULL) {
-        if (version < a->floor) {
+        if (version < a->min_version) {
             cluster_violation(cl, "a read gave %llu after %llu was confirmed",
                               (unsigned long long)version,
-                              (unsigned long long)a->floor);
+                              (unsigned long long)a->min_version);
         }
     }
-    else if (r->of.kind == MSG_PUBLICATION) {
+    else if (r->publication.kind == MSG_PUBLICATION) {
         check_accepted(cl, a);
     }
 }
@@ -283,19 +286,20 @@
 static void
 take_effect(struct cluster *cl, struct node *n, struct control_effect *f)
 {
-    if (control_effect_on_disk(f->kind)) {
-        if (n->n_work == CLUSTER_OPERATIONS) {
+    if (control_effect_is_disk(f->kind)) {
+        if (n->n_disk_work == CLUSTER_DISK_WORK_MAX) {
             abort();
         }
-        if (n->n_work == 0) {
-            n->work_us = cl->now_us + 200 + (int64_t)cluster_draw(cl, 4000);
+        if (n->n_disk_work == 0) {
+            n->disk_work_due_us =
+                cl->now_us + 200 + (int64_t)cluster_random(cl, 4000);
         }
-        n->work[n->n_work++] = *f;
+        n->disk_work[n->n_disk_work++] = *f;
         memset(f, 0, sizeof(*f));
         f->kind = CE_STOPPED;
         return;
     }
-    if (f->kind == CE_SEND && !n->cut) {
+    if (f->kind == CE_SEND && !n->isolated) {
         if (f->u.send.msg.kind == MSG_CONFIG_REPLY) {
             check_served(cl, n, &f->u.send.msg.u.config_reply);
         }
@@ -311,7 +315,7 @@
 killed(struct cluster *cl, int i)
 {
     cl->steps++;
-    if (cl->steps != cl->kill_at) {
+    if (cl->steps != cl->crash_at_step) {
         return false;
     }
     cluster_crash(cl, i);
@@ -340,7 +344,9 @@
 static int64_t
 disk_due_us(const struct node *n)
 {
-    return n->work_us > n->stalled_until_us ? n->work_us : n->stalled_until_us;
+    return n->disk_work_due_us > n->disk_stalled_until_us
+               ? n->disk_work_due_us
+               : n->disk_stalled_until_us;
 }
 
 /* The disk's thread: one effect at a time. */
@@ -348,22 +354,24 @@
 work(struct cluster *cl, int i)
 {
     struct node *n = &cl->nodes[i];
-    struct control_effect f = n->work[0];
+    struct control_effect f = n->disk_work[0];
     struct control_event ev = {.kind = CEV_SAVED};
     enum storage_error err;
 
     if (killed(cl, i)) {
         return;
     }
-    n->n_work--;
-    memmove(n->work, n->work + 1, n->n_work * sizeof(n->work[0]));
+    n->n_disk_work--;
+    memmove(n->disk_work, n->disk_work + 1,
+            n->n_disk_work * sizeof(n->disk_work[0]));
     err = f.kind == CE_SYNC ? storage_sync(n->storage)
                             : control_disk_write(n->storage, &f);
     ev.u.saved.seq = f.u.sync.seq;
-    n->work_us = cl->now_us +
-                 (n->work[0].kind == CE_SYNC
-                      ? 500 + (int64_t)cluster_draw(cl, (uint64_t)cl->sync_us)
-                      : 50);
+    n->disk_work_due_us =
+        cl->now_us +
+        (n->disk_work[0].kind == CE_SYNC
+             ? 500 + (int64_t)cluster_random(cl, (uint64_t)cl->max_sync_us)
+             : 50);
     if (err != STORAGE_OK) {
         cluster_crash(cl, i); /* the process stops */
     }
@@ -382,11 +390,11 @@
     n->control = NULL;
     storage_close(n->storage);
     n->storage = NULL;
-    for (size_t w = 0; w < n->n_work; w++) {
-        control_effect_clear(&n->work[w]);
+    for (size_t w = 0; w < n->n_disk_work; w++) {
+        control_effect_clear(&n->disk_work[w]);
     }
-    n->n_work = 0;
-    fault_disk_crash(n->disk, cluster_draw(cl, 1000000));
+    n->n_disk_work = 0;
+    fault_disk_crash(n->disk, cluster_random(cl, 1000000));
 }
 
 void
@@ -408,7 +416,7 @@
     }
     co.self = n->name;
     co.disk = found.disk;
-    co.seed = cluster_draw(cl, UINT64_MAX);
+    co.seed = cluster_random(cl, UINT64_MAX);
     n->control = control_new(&co, &found);
     storage_found_free(&found);
     if (n->control == NULL) {
@@ -421,15 +429,15 @@
 void
 cluster_stall(struct cluster *cl, int i, int64_t us)
 {
-    cl->nodes[i].stalled_until_us = cl->now_us + us;
+    cl->nodes[i].disk_stalled_until_us = cl->now_us + us;
 }
 
 void
 cluster_wipe(struct cluster *cl, int i)
 {
     fault_disk_wipe(cl->nodes[i].disk);
-    cl->nodes[i].disk_id = cluster_draw(cl, UINT64_MAX) | 1;
-    cl->nodes[i].served = 0;
+    cl->nodes[i].disk_identity = cluster_random(cl, UINT64_MAX) | 1;
+    cl->nodes[i].served_version = 0;
 }
 
 void
@@ -441,7 +449,7 @@
         .address = address_of("127.0.0.1:1"),
         .http = address_of("127.0.0.1:2"),
     };
-    struct control_recovered r = {0};
+    struct control_recovery r = {0};
     struct storage *s = NULL;
     struct storage_found found;
     char detail[DETAIL_SIZE];
@@ -461,7 +469,7 @@
 static struct blob *
 founding(const struct cluster *cl)
 {
-    struct rec_control_member members[CLUSTER_NODES] = {0};
+    struct rec_control_member members[CLUSTER_NODES_MAX] = {0};
     struct rec_membership m = {members, (size_t)cl->n};
 
     for (int i = 0; i < cl->n; i++) {
@@ -482,7 +490,7 @@
     struct storage_options o;
     char detail[DETAIL_SIZE];
 
-    cl->nodes[i].disk_id =
+    cl->nodes[i].disk_identity =
         control_founding_disk(name_of(REGION), node_name(i));
     o = disk_options(cl, i);
     if (storage_format(&o, CONTROL_FOUNDING_INDEX, CONTROL_FOUNDING_TERM,
@@ -493,7 +501,7 @@
 }
 
 void
-cluster_found_again(struct cluster *cl, int i)
+cluster_bootstrap_again(struct cluster *cl, int i)
 {
     cluster_wipe(cl, i);
     format(cl, i);
@@ -505,10 +513,10 @@
 {
     size_t best = 0;
 
-    for (size_t i = 1; i < cl->n_flights; i++) {
-        if (cl->flights[i].due_us < cl->flights[best].due_us ||
-            (cl->flights[i].due_us == cl->flights[best].due_us &&
-             cl->flights[i].order < cl->flights[best].order)) {
+    for (size_t i = 1; i < cl->n_in_flight; i++) {
+        if (cl->in_flight[i].due_us < cl->in_flight[best].due_us ||
+            (cl->in_flight[i].due_us == cl->in_flight[best].due_us &&
+             cl->in_flight[i].order < cl->in_flight[best].order)) {
             best = i;
         }
     }
@@ -518,14 +526,14 @@
 static void
 deliver(struct cluster *cl, size_t at)
 {
-    struct flight f = cl->flights[at];
+    struct flight f = cl->in_flight[at];
     struct control_event ev = {.kind = CEV_MESSAGE};
 
     if (f.to >= 0 && cl->nodes[f.to].paused) {
-        cl->flights[at].due_us += 50 * USEC_PER_MSEC; /* in its socket */
+        cl->in_flight[at].due_us += 50 * USEC_PER_MSEC; /* in its socket */
         return;
     }
-    cl->flights[at] = cl->flights[--cl->n_flights];
+    cl->in_flight[at] = cl->in_flight[--cl->n_in_flight];
     ev.u.message.from = f.from;
     ev.u.message.msg = &f.msg;
     if (f.to < 0) {
@@ -533,8 +541,8 @@
             follower_takes(cl, &f.msg.u.config_reply);
         }
     }
-    else if (!cl->nodes[f.to].cut &&
-             cl->nodes[f.to].deaf_to != node_number(cl, f.from)) {
+    else if (!cl->nodes[f.to].isolated &&
+             cl->nodes[f.to].drops_from != node_number(cl, f.from)) {
         step(cl, f.to, &ev);
     }
     msg_free(&f.msg);
@@ -544,7 +552,8 @@
 run_next(struct cluster *cl, int64_t until_us)
 {
     size_t flight = next_flight(cl);
-    int64_t due = cl->n_flights > 0 ? cl->flights[flight].due_us : INT64_MAX;
+    int64_t due =
+        cl->n_in_flight > 0 ? cl->in_flight[flight].due_us : INT64_MAX;
     struct control_event ev = {.kind = CEV_TICK};
     int who = -1;
     bool disk = false;
@@ -555,13 +564,13 @@
         if (n->control == NULL || n->paused) {
             continue;
         }
-        if (n->n_work > 0 && disk_due_us(n) < due) {
+        if (n->n_disk_work > 0 && disk_due_us(n) < due) {
             due = disk_due_us(n);
             who = i;
             disk = true;
         }
-        if (control_next_us(n->control) < due) {
-            due = control_next_us(n->control);
+        if (control_next_tick_us(n->control) < due) {
+            due = control_next_tick_us(n->control);
             who = i;
             disk = false;
         }
@@ -636,7 +645,7 @@
     struct answer *a = &cl->answers[r];
 
     memset(a, 0, sizeof(*a));
-    a->floor = cl->confirmed;
+    a->min_version = cl->confirmed_version;
     return a;
 }
 
@@ -696,7 +705,7 @@
 
     (void)ask(cl, r);
     ev.u.read.request = r;
-    ev.u.read.what = READ_CONFIG;
+    ev.u.read.kind = READ_CONFIG;
     step(cl, i, &ev);
 }
 
@@ -735,24 +744,24 @@
 }
 
 void
-cluster_forget(struct cluster *cl)
+cluster_reset_follower(struct cluster *cl)
 {
     blob_unref(cl->follower_text);
     cl->follower_text = NULL;
-    cl->follower_has = 0;
+    cl->follower_version = 0;
 }
 
 void
-cluster_poll(struct cluster *cl, int i)
+cluster_follower_poll(struct cluster *cl, int i)
 {
     struct msg m = {.kind = MSG_CONFIG_REQUEST};
 
-    m.u.config_request.have_version = cl->follower_has;
-    m.u.config_request.known_version = cl->follower_has;
+    m.u.config_request.have_version = cl->follower_version;
+    m.u.config_request.known_version = cl->follower_version;
     m.u.config_request.incarnation = 1;
     m.u.config_request.zone = name_of("sk-east-a");
     m.u.config_request.has_text = cl->follower_text != NULL;
-    if (!cl->nodes[i].cut) {
+    if (!cl->nodes[i].isolated) {
         carry(cl, name_of(FOLLOWER), cl->nodes[i].name, &m);
     }
 }
@@ -769,22 +778,22 @@
     cl->n = n;
     cl->random = seed;
     cl->now_us = USEC_PER_SEC;
-    cl->delay_us = 2 * USEC_PER_MSEC;
-    cl->sync_us = 8 * USEC_PER_MSEC;
+    cl->max_delay_us = 2 * USEC_PER_MSEC;
+    cl->max_sync_us = 8 * USEC_PER_MSEC;
     cl->options = control_options_default();
     cl->options.snapshot_entries = 20;
-    cl->options.trail = 5;
-    cl->options.chunk = 700;
+    cl->options.log_tail_entries = 5;
+    cl->options.snapshot_chunk_bytes = 700;
     if (breaks != NULL) {
         memcpy(cl->options.breaks, breaks, sizeof(cl->options.breaks));
     }
-    cl->options.n_known = (size_t)n;
+    cl->options.n_configured = (size_t)n;
     for (int i = 0; i < n; i++) {
-        cl->options.known[i] = node_name(i);
+        cl->options.configured[i] = node_name(i);
     }
     for (int i = 0; i < n; i++) {
         cl->nodes[i].name = node_name(i);
-        cl->nodes[i].deaf_to = CLUSTER_NODES;
+        cl->nodes[i].drops_from = CLUSTER_NODES_MAX;
         cl->nodes[i].disk = fault_disk_new();
         format(cl, i);
         cluster_start(cl, i);
@@ -799,8 +808,8 @@
         cluster_crash(cl, i);
         fault_disk_free(cl->nodes[i].disk);
     }
-    for (size_t i = 0; i < cl->n_flights; i++) {
-        msg_free(&cl->flights[i].msg);
+    for (size_t i = 0; i < cl->n_in_flight; i++) {
+        msg_free(&cl->in_flight[i].msg);
     }
     blob_unref(cl->follower_text);
     free(cl);
--- a/tests/cluster.h
+++ b/tests/cluster.h
@@ -15,27 +15,27 @@
 #include "fault_disk.h"
 
 enum {
-    CLUSTER_NODES = 9,
-    CLUSTER_REQUESTS = 4096,
-    CLUSTER_ENTRIES = 8192,
-    CLUSTER_FLIGHTS = 4096,
-    CLUSTER_OPERATIONS = 512,
+    CLUSTER_NODES_MAX = 9,
+    CLUSTER_REQUESTS_MAX = 4096,
+    CLUSTER_ENTRIES_MAX = 8192,
+    CLUSTER_MESSAGES_MAX = 4096,
+    CLUSTER_DISK_WORK_MAX = 512,
 };
 
 struct node {
     struct name name;
     struct disk *disk;
-    uint64_t disk_id;
+    uint64_t disk_identity;
     struct storage *storage;
     struct control *control; /* NULL while it is down */
-    bool cut;                /* reaches nobody */
-    int deaf_to; /* hears nothing from that one; CLUSTER_NODES: none */
-    bool paused; /* stopped, with all it has still before it */
-    struct control_effect work[CLUSTER_OPERATIONS]; /* for the disk */
-    size_t n_work;
-    int64_t work_us;          /* when the first of it is done */
-    int64_t stalled_until_us; /* the disk does nothing before */
-    uint64_t served;          /* newest version sent to a follower */
+    bool isolated;           /* reaches nobody */
+    int drops_from; /* hears nothing from that one; CLUSTER_NODES_MAX: none */
+    bool paused;    /* stopped, with all it has still before it */
+    struct control_effect disk_work[CLUSTER_DISK_WORK_MAX]; /* for the disk */
+    size_t n_disk_work;
+    int64_t disk_work_due_us;      /* when the first of it is done */
+    int64_t disk_stalled_until_us; /* the disk does nothing before */
+    uint64_t served_version;       /* newest version sent to a follower */
 };
 
 struct flight {
@@ -52,37 +52,40 @@
     enum control_result result;
     uint64_t version; /* of the publication or the read */
     bool resend;
-    uint64_t floor; /* confirmed before a read was begun */
+    uint64_t min_version; /* confirmed before a read was begun */
 };
 
 struct cluster {
     struct control_options options;
     int n;
-    struct node nodes[CLUSTER_NODES];
+    struct node nodes[CLUSTER_NODES_MAX];
     int64_t now_us;
     uint64_t random;
     uint64_t order;
-    struct flight flights[CLUSTER_FLIGHTS];
-    size_t n_flights;
-    unsigned int loss;    /* of 1000 messages */
-    unsigned int doubled; /* of 1000 messages */
-    int64_t delay_us;     /* most a message takes */
-    int64_t sync_us;      /* most a sync takes */
-    uint64_t steps;       /* steps of reducers and operations of disks */
-    uint64_t kill_at;     /* crash whoever takes that step; 0 never */
-    struct answer answers[CLUSTER_REQUESTS];
-    uint64_t confirmed; /* newest confirmed version */
-    struct rec_log_entry committed[CLUSTER_ENTRIES]; /* data: digest only */
-    struct key_id versions[CLUSTER_REQUESTS]; /* request of each version */
-    struct name leaders[CLUSTER_REQUESTS];    /* of each term */
-    uint64_t accepted[CLUSTER_REQUESTS];      /* version of each request id */
-    uint64_t follower_has;
+    struct flight in_flight[CLUSTER_MESSAGES_MAX];
+    size_t n_in_flight;
+    unsigned int loss_permille;      /* of 1000 messages */
+    unsigned int duplicate_permille; /* of 1000 messages */
+    int64_t max_delay_us;            /* most a message takes */
+    int64_t max_sync_us;             /* most a sync takes */
+    uint64_t steps;         /* steps of reducers and operations of disks */
+    uint64_t crash_at_step; /* crash whoever takes that step; 0 never */
+    struct answer answers[CLUSTER_REQUESTS_MAX];
+    uint64_t confirmed_version; /* newest confirmed version */
+    struct rec_log_entry
+        committed[CLUSTER_ENTRIES_MAX]; /* data: digest only */
+    struct key_id
+        version_requests[CLUSTER_REQUESTS_MAX]; /* request of each version */
+    struct name term_leaders[CLUSTER_REQUESTS_MAX];  /* of each term */
+    uint64_t request_versions[CLUSTER_REQUESTS_MAX]; /* version of each request
+                                                        id */
+    uint64_t follower_version;
     struct blob *follower_text;
-    uint64_t follower_got; /* replies with a configuration */
+    uint64_t follower_replies; /* replies with a configuration */
     /* Takes what is sent to processes that are no members; NULL for none. */
-    void (*outside)(void *ctx, struct name from, struct name to,
-                    const struct msg *m);
-    void *outside_ctx;
+    void (*send_external)(void *ctx, struct name from, struct name to,
+                          const struct msg *m);
+    void *external_ctx;
     int violations;
     char first_violation[DETAIL_SIZE];
 };
@@ -111,8 +114,9 @@
 /** cluster_wipe() - its disk is replaced by an empty one, while it is down */
 void cluster_wipe(struct cluster *cl, int node);
 
-/** cluster_found_again() - its empty disk is made a founder's, by mistake */
-void cluster_found_again(struct cluster *cl, int node);
+/** cluster_bootstrap_again() - its empty disk is made a founder's, by mistake
+ */
+void cluster_bootstrap_again(struct cluster *cl, int node);
 
 /** cluster_recover() - makes a member that is down the only one */
 void cluster_recover(struct cluster *cl, int node);
@@ -135,13 +139,13 @@
 void cluster_inject(struct cluster *cl, const char *from, int node,
                     const struct msg *m);
 
-/** cluster_forget() - the follower restarts with nothing */
-void cluster_forget(struct cluster *cl);
+/** cluster_reset_follower() - the follower restarts with nothing */
+void cluster_reset_follower(struct cluster *cl);
 
-/** cluster_poll() - the follower asks a member with what it has */
-void cluster_poll(struct cluster *cl, int node);
+/** cluster_follower_poll() - the follower asks a member with what it has */
+void cluster_follower_poll(struct cluster *cl, int node);
 
-uint64_t cluster_draw(struct cluster *cl, uint64_t below);
+uint64_t cluster_random(struct cluster *cl, uint64_t below);
 void cluster_violation(struct cluster *cl, const char *format, ...)
     __attribute__((format(printf, 2, 3)));
 
--- a/tests/config_spread_test.c
+++ b/tests/config_spread_test.c
@@ -186,11 +186,11 @@
 
     s->asked = -1;
     s->cl = cluster_new(MEMBERS, seed, NULL);
-    s->cl->options.heartbeat_us = 80 * MSEC;
-    s->cl->options.election_us = 400 * MSEC;
+    s->cl->options.heartbeat_interval_us = 80 * MSEC;
+    s->cl->options.election_timeout_us = 400 * MSEC;
     s->cl->options.limits.texts = 2;
-    s->cl->outside = to_broker;
-    s->cl->outside_ctx = s;
+    s->cl->send_external = to_broker;
+    s->cl->external_ctx = s;
     for (int i = 0; i < MEMBERS; i++) {
         cluster_crash(s->cl, i);
         cluster_start(s->cl, i);
--- a/tests/control_test.c
+++ b/tests/control_test.c
@@ -57,13 +57,13 @@
 {
     int leader;
 
-    cl->loss = 0;
-    cl->doubled = 0;
-    cl->delay_us = 2 * MSEC;
-    cl->sync_us = 8 * MSEC;
-    cl->kill_at = 0;
+    cl->loss_permille = 0;
+    cl->duplicate_permille = 0;
+    cl->max_delay_us = 2 * MSEC;
+    cl->max_sync_us = 8 * MSEC;
+    cl->crash_at_step = 0;
     for (int i = 0; i < cl->n; i++) {
-        cl->nodes[i].cut = false;
+        cl->nodes[i].isolated = false;
         cl->nodes[i].paused = false;
         cluster_start(cl, i);
     }
@@ -71,9 +71,9 @@
     publish_until_accepted(cl, r);
     cluster_run(cl, 5 * SEC);
     leader = cluster_await_leader(cl);
-    if (version_of(cl, leader) < cl->confirmed) {
+    if (version_of(cl, leader) < cl->confirmed_version) {
         cluster_violation(cl, "version %llu was confirmed and is gone",
-                          (unsigned long long)cl->confirmed);
+                          (unsigned long long)cl->confirmed_version);
     }
     for (int i = 0; i < cl->n; i++) {
         if (version_of(cl, i) != version_of(cl, leader)) {
@@ -91,9 +91,9 @@
         publish_until_accepted(cl, r);
         CU_ASSERT_EQUAL(cl->answers[r].version, r);
     }
-    cluster_poll(cl, 0);
+    cluster_follower_poll(cl, 0);
     cluster_run(cl, 2 * SEC);
-    CU_ASSERT_EQUAL(cl->follower_has, 5);
+    CU_ASSERT_EQUAL(cl->follower_version, 5);
     for (int i = 0; i < 3; i++) {
         CU_ASSERT_EQUAL(version_of(cl, i), 5);
     }
@@ -187,12 +187,12 @@
         publish_until_accepted(cl, r);
     }
     cl->steps = 0;
-    cl->kill_at = kill_at;
+    cl->crash_at_step = kill_at;
     cluster_publish(cl, cluster_await_leader(cl), 100, before, 100);
     cluster_run(cl, 400 * MSEC);
     steps = cl->steps;
     cluster_run(cl, 8 * SEC);
-    cl->kill_at = 0;
+    cl->crash_at_step = 0;
     for (int i = 0; i < 3; i++) {
         cluster_start(cl, i);
     }
@@ -245,7 +245,7 @@
     int silent = (cluster_await_leader(cl) + 1) % 3;
     uint64_t term;
 
-    cl->nodes[silent].cut = true;
+    cl->nodes[silent].isolated = true;
     cluster_run(cl, 3600 * SEC);
     term = control_view(cl->nodes[silent].control).term;
     cluster_free(cl);
@@ -307,7 +307,7 @@
     };
     char detail[DETAIL_SIZE];
 
-    cl->nodes[silent].cut = true;
+    cl->nodes[silent].isolated = true;
     for (uint64_t r = 1; r <= 30; r++) {
         publish_until_accepted(cl, r);
     }
@@ -320,7 +320,7 @@
     storage_found_free(&found);
     storage_close(s);
     cluster_start(cl, silent);
-    cl->nodes[silent].cut = false;
+    cl->nodes[silent].isolated = false;
     for (uint64_t r = 31; r <= 60; r++) {
         cluster_publish(cl, leader, r, r - 1, r);
         cluster_run(cl, 200 * MSEC);
@@ -349,14 +349,14 @@
             int other = (leader + 1) % 3;
 
             cluster_publish(cl, leader, r, version_of(cl, leader), r);
-            cluster_run(cl, (int64_t)cluster_draw(cl, 20000));
+            cluster_run(cl, (int64_t)cluster_random(cl, 20000));
             for (int twice = 0; twice < 2; twice++) {
                 cluster_crash(cl, leader);
                 cluster_start(cl, leader);
-                cluster_run(cl, (int64_t)cluster_draw(cl, 10000));
+                cluster_run(cl, (int64_t)cluster_random(cl, 10000));
                 cluster_crash(cl, other);
                 cluster_start(cl, other);
-                cluster_run(cl, (int64_t)cluster_draw(cl, 10000));
+                cluster_run(cl, (int64_t)cluster_random(cl, 10000));
             }
             cluster_run(cl, 2 * SEC);
         }
@@ -381,20 +381,20 @@
         cluster_run(cl, 60 * MSEC);
         CU_ASSERT_EQUAL(cl->answers[r].result, CONTROL_OK);
     }
-    CU_ASSERT_EQUAL(cl->confirmed, changes);
+    CU_ASSERT_EQUAL(cl->confirmed_version, changes);
     for (int i = 0; i < 3; i++) {
         cluster_crash(cl, i);
     }
     for (int i = 0; i < 3; i++) {
         cluster_start(cl, i);
-        cluster_poll(cl, i);
+        cluster_follower_poll(cl, i);
         cluster_run(cl, 300 * MSEC);
     }
-    while (cl->follower_got == 0 && cl->now_us < 600 * SEC) {
+    while (cl->follower_replies == 0 && cl->now_us < 600 * SEC) {
         cluster_run(cl, 100 * MSEC);
     }
-    first = cl->follower_has;
-    *replies = cl->follower_got;
+    first = cl->follower_version;
+    *replies = cl->follower_replies;
     if (breaks == NULL) {
         no_violation(cl);
     }
@@ -425,7 +425,7 @@
 
     publish_until_accepted(cl, 1);
     *terms = control_view(cl->nodes[leader].control).term;
-    cl->nodes[(leader + 1) % 3].deaf_to = leader;
+    cl->nodes[(leader + 1) % 3].drops_from = leader;
     cluster_run(cl, 60 * SEC);
     leader = cluster_await_leader(cl);
     *terms = control_view(cl->nodes[leader].control).term - *terms;
@@ -458,14 +458,14 @@
     int b = (a + 1) % 3;
     int c = (a + 2) % 3;
 
-    cl->nodes[c].cut = true;
+    cl->nodes[c].isolated = true;
     for (uint64_t r = 1; r <= 3; r++) {
         publish_until_accepted(cl, r);
     }
     cluster_crash(cl, a);
     cluster_wipe(cl, a);
-    cl->nodes[b].cut = true;
-    cl->nodes[c].cut = false;
+    cl->nodes[b].isolated = true;
+    cl->nodes[c].isolated = false;
     cluster_start(cl, a);
     cluster_run(cl, 60 * SEC);
     if (breaks == NULL) {
@@ -475,7 +475,7 @@
     else {
         publish_until_accepted(cl, 50);
     }
-    cl->nodes[b].cut = false;
+    cl->nodes[b].isolated = false;
     (void)cluster_await_leader(cl);
     cluster_run(cl, 5 * SEC);
     cluster_change(cl, cluster_await_leader(cl), 60, CHANGE_REPLACE, a);
@@ -511,18 +511,18 @@
     int c = (a + 2) % 3;
 
     cluster_run(cl, 5 * SEC);
-    cl->nodes[c].cut = true;
+    cl->nodes[c].isolated = true;
     for (uint64_t r = 1; r <= 3; r++) {
         publish_until_accepted(cl, r);
     }
     cluster_crash(cl, a);
-    cluster_found_again(cl, a);
-    cl->nodes[b].cut = true;
-    cl->nodes[c].cut = false;
+    cluster_bootstrap_again(cl, a);
+    cl->nodes[b].isolated = true;
+    cl->nodes[c].isolated = false;
     cluster_start(cl, a);
     cluster_run(cl, 60 * SEC);
     CU_ASSERT_TRUE(cluster_leader(cl) < 0);
-    cl->nodes[b].cut = false;
+    cl->nodes[b].isolated = false;
     check_recovers(cl, 100);
     CU_ASSERT_EQUAL(version_of(cl, a), 4);
     no_violation(cl);
@@ -543,9 +543,9 @@
     for (uint64_t r = 1; r <= 30; r++) {
         publish_until_accepted(cl, r);
     }
-    cluster_poll(cl, left);
+    cluster_follower_poll(cl, left);
     cluster_run(cl, 2 * SEC);
-    before = cl->follower_has;
+    before = cl->follower_version;
     CU_ASSERT_EQUAL(before, 30);
     for (int i = 0; i < 3; i++) {
         cluster_crash(cl, i);
@@ -567,10 +567,10 @@
         }
     }
     check_recovers(cl, 50);
-    cluster_poll(cl, left);
+    cluster_follower_poll(cl, left);
     cluster_run(cl, 2 * SEC);
-    CU_ASSERT_TRUE(cl->follower_has > before);
-    CU_ASSERT_EQUAL(cl->follower_has, version_of(cl, left));
+    CU_ASSERT_TRUE(cl->follower_version > before);
+    CU_ASSERT_EQUAL(cl->follower_version, version_of(cl, left));
     no_violation(cl);
     cluster_free(cl);
 }
@@ -589,11 +589,11 @@
     for (uint64_t r = 1; r <= 60; r++) {
         publish_until_accepted(cl, r);
     }
-    cl->loss = 100;
+    cl->loss_permille = 100;
     cluster_start(cl, away);
     cluster_run(cl, 60 * SEC);
     CU_ASSERT_EQUAL(version_of(cl, away), 60);
-    cl->loss = 0;
+    cl->loss_permille = 0;
     leader = cluster_await_leader(cl);
     away = (leader + 1) % 4;
     cluster_change(cl, leader, 100, CHANGE_REMOVE, away);
@@ -625,7 +625,7 @@
     int leader;
 
     publish_until_accepted(cl, 1);
-    cl->nodes[old].cut = true;
+    cl->nodes[old].isolated = true;
     cluster_publish(cl, old, 2, 1, 2);
     cluster_read(cl, old, 3);
     cluster_run(cl, 15 * SEC);
@@ -653,10 +653,10 @@
     uint64_t term = control_view(cl->nodes[leader].control).term;
 
     publish_until_accepted(cl, 1);
-    cl->sync_us = 20 * SEC;
+    cl->max_sync_us = 20 * SEC;
     cluster_publish(cl, leader, 2, 1, 2);
     cluster_run(cl, 3 * SEC);
-    cl->sync_us = 8 * MSEC;
+    cl->max_sync_us = 8 * MSEC;
     cluster_run(cl, 25 * SEC);
     CU_ASSERT_EQUAL(control_view(cl->nodes[leader].control).term, term);
     CU_ASSERT_EQUAL(version_of(cl, leader), 2);
@@ -715,7 +715,7 @@
             break;
         }
     }
-    CU_ASSERT_EQUAL(cl->confirmed, 2);
+    CU_ASSERT_EQUAL(cl->confirmed_version, 2);
     cluster_run(cl, 50 * SEC);
     cl->nodes[old].paused = false;
     cluster_read(cl, old, 3);
@@ -805,9 +805,9 @@
         cluster_inject(cl, "e9", leader, &m);
     }
     CU_ASSERT_TRUE(control_view(cl->nodes[leader].control).followers <= 1024);
-    cluster_poll(cl, leader);
+    cluster_follower_poll(cl, leader);
     cluster_run(cl, SEC);
-    CU_ASSERT_EQUAL(cl->follower_has, 1);
+    CU_ASSERT_EQUAL(cl->follower_version, 1);
     no_violation(cl);
     cluster_free(cl);
 }
@@ -891,13 +891,14 @@
 publish_something(struct cluster *cl, uint64_t r)
 {
     int leader = cluster_leader(cl);
-    int at = leader >= 0 && cluster_draw(cl, 4) > 0
+    int at = leader >= 0 && cluster_random(cl, 4) > 0
                  ? leader
-                 : (int)cluster_draw(cl, (uint64_t)cl->n);
-    uint64_t back = cluster_draw(cl, 4) == 0 ? 1 : 0;
+                 : (int)cluster_random(cl, (uint64_t)cl->n);
+    uint64_t back = cluster_random(cl, 4) == 0 ? 1 : 0;
     uint64_t base = version_of(cl, at);
-    uint64_t id =
-        r > 6 && cluster_draw(cl, 3) == 0 ? r - 1 - cluster_draw(cl, 5) : r;
+    uint64_t id = r > 6 && cluster_random(cl, 3) == 0
+                      ? r - 1 - cluster_random(cl, 5)
+                      : r;
 
     cluster_publish(cl, at, r, base > back ? base - back : base, id);
 }
@@ -905,9 +906,9 @@
 static void
 disturb(struct cluster *cl)
 {
-    int at = (int)cluster_draw(cl, (uint64_t)cl->n);
+    int at = (int)cluster_random(cl, (uint64_t)cl->n);
 
-    switch (cluster_draw(cl, 13)) {
+    switch (cluster_random(cl, 13)) {
     case 0:
     case 1:
         cluster_crash(cl, at);
@@ -916,14 +917,14 @@
     case 3:
     case 4:
         cluster_start(cl, at);
-        cluster_poll(cl, at);
+        cluster_follower_poll(cl, at);
         break;
     case 5:
-        cl->nodes[at].cut = true;
+        cl->nodes[at].isolated = true;
         break;
     case 6:
     case 7:
-        cl->nodes[at].cut = false;
+        cl->nodes[at].isolated = false;
         break;
     case 8:
         cl->nodes[at].paused = true;
@@ -941,10 +942,10 @@
         }
         break;
     default:
-        cl->loss = (unsigned int)cluster_draw(cl, 300);
-        cl->doubled = (unsigned int)cluster_draw(cl, 200);
-        cl->delay_us = (int64_t)cluster_draw(cl, 60000) + 1000;
-        cl->sync_us = (int64_t)cluster_draw(cl, 300000) + 1000;
+        cl->loss_permille = (unsigned int)cluster_random(cl, 300);
+        cl->duplicate_permille = (unsigned int)cluster_random(cl, 200);
+        cl->max_delay_us = (int64_t)cluster_random(cl, 60000) + 1000;
+        cl->max_sync_us = (int64_t)cluster_random(cl, 300000) + 1000;
         break;
     }
 }
@@ -969,8 +970,8 @@
     int lost = leader < 0 ? -1 : (leader + 1) % cl->n;
 
     if (leader < 0 || !all_voters(cl) ||
-        control_view(cl->nodes[lost].control).commit !=
-            control_view(cl->nodes[leader].control).commit) {
+        control_view(cl->nodes[lost].control).commit_index !=
+            control_view(cl->nodes[leader].control).commit_index) {
         return;
     }
     cluster_crash(cl, lost);
@@ -988,19 +989,20 @@
 
     cluster_run(cl, 5 * SEC);
     for (int i = 0; i < SCHEDULE_STEPS && cl->violations == 0; i++) {
-        uint64_t what = cluster_draw(cl, 17);
+        uint64_t what = cluster_random(cl, 17);
 
         if (what < 8) {
             publish_something(cl, r++);
         }
         else if (what < 10) {
-            cluster_read(cl, (int)cluster_draw(cl, (uint64_t)cl->n), r++);
+            cluster_read(cl, (int)cluster_random(cl, (uint64_t)cl->n), r++);
         }
         else if (what < 12) {
-            if (cluster_draw(cl, 3) == 0) {
-                cluster_forget(cl);
+            if (cluster_random(cl, 3) == 0) {
+                cluster_reset_follower(cl);
             }
-            cluster_poll(cl, (int)cluster_draw(cl, (uint64_t)cl->n));
+            cluster_follower_poll(cl,
+                                  (int)cluster_random(cl, (uint64_t)cl->n));
         }
         else if (what == 12) {
             cluster_run(cl, 4 * SEC);
@@ -1011,7 +1013,7 @@
         else {
             disturb(cl);
         }
-        cluster_run(cl, (int64_t)cluster_draw(cl, 800000));
+        cluster_run(cl, (int64_t)cluster_random(cl, 800000));
     }
     return cl;
 }
@@ -1020,9 +1022,9 @@
 static void
 finish_replacement(struct cluster *cl)
 {
-    cl->loss = 0;
+    cl->loss_permille = 0;
     for (int i = 0; i < cl->n; i++) {
-        cl->nodes[i].cut = false;
+        cl->nodes[i].isolated = false;
         cl->nodes[i].paused = false;
         cluster_start(cl, i);
     }
@@ -1051,7 +1053,7 @@
         if (cl->violations > 0) {
             printf("\n    seed %llu", (unsigned long long)seed);
         }
-        published += cl->confirmed;
+        published += cl->confirmed_version;
         no_violation(cl);
         cluster_free(cl);
     }
--- a/tests/enroll_test.c
+++ b/tests/enroll_test.c
@@ -16,9 +16,9 @@
     struct cluster *cl = cluster_new(n, seed, NULL);
 
     cl->options.enroll = true;
-    cl->options.election_us = 400 * USEC_PER_MSEC;
-    cl->options.heartbeat_us = 80 * USEC_PER_MSEC;
-    cl->options.first_us = 120 * USEC_PER_MSEC;
+    cl->options.election_timeout_us = 400 * USEC_PER_MSEC;
+    cl->options.heartbeat_interval_us = 80 * USEC_PER_MSEC;
+    cl->options.startup_timeout_us = 120 * USEC_PER_MSEC;
     cl->options.address = address_of("127.0.0.1:1");
     cl->options.http = address_of("127.0.0.1:2");
     for (int i = 0; i < n; i++) {
@@ -91,12 +91,12 @@
         int other = (leader + 2) % 3;
 
         publish(cl, 1);
-        cl->nodes[behind].cut = true;
+        cl->nodes[behind].isolated = true;
         publish(cl, 2);
         cluster_crash(cl, leader);
         cluster_wipe(cl, leader);
         cluster_crash(cl, other);
-        cl->nodes[behind].cut = false;
+        cl->nodes[behind].isolated = false;
         cluster_start(cl, leader);
         cluster_run(cl, 5 * SEC);
         CU_ASSERT_TRUE(cluster_leader(cl) < 0);
@@ -151,11 +151,11 @@
     int gone = (cluster_await_leader(cl) + 1) % 4;
 
     publish(cl, 1);
-    cl->nodes[gone].cut = true;
+    cl->nodes[gone].isolated = true;
     cluster_run(cl, 6 * SEC);
     CU_ASSERT_EQUAL(count_members(cl), 3);
-    cl->nodes[gone].cut = false;
-    cl->nodes[gone].deaf_to = cluster_leader(cl);
+    cl->nodes[gone].isolated = false;
+    cl->nodes[gone].drops_from = cluster_leader(cl);
     for (int i = 0; i < 200 && count_members(cl) < 4; i++) {
         cluster_run(cl, 10 * MSEC);
     }
@@ -163,7 +163,7 @@
         CU_ASSERT_EQUAL(count_members(cl), 4);
         cluster_run(cl, 10 * MSEC);
     }
-    cl->nodes[gone].deaf_to = CLUSTER_NODES;
+    cl->nodes[gone].drops_from = CLUSTER_NODES_MAX;
     cluster_run(cl, 4 * SEC);
     CU_ASSERT_TRUE(votes(cl, gone));
     no_violation(cl);
@@ -197,20 +197,20 @@
         uint64_t r = 1;
 
         for (int round = 0; round < 8; round++) {
-            int one = (int)cluster_draw(cl, 4);
+            int one = (int)cluster_random(cl, 4);
 
             publish(cl, r++);
-            if (cluster_draw(cl, 3) == 0) {
-                cl->nodes[one].cut = true;
-                cluster_run(cl, (int64_t)cluster_draw(cl, 6) * SEC);
-                cl->nodes[one].cut = false;
+            if (cluster_random(cl, 3) == 0) {
+                cl->nodes[one].isolated = true;
+                cluster_run(cl, (int64_t)cluster_random(cl, 6) * SEC);
+                cl->nodes[one].isolated = false;
                 continue;
             }
             cluster_crash(cl, one);
-            if (cluster_draw(cl, 2) == 0) {
+            if (cluster_random(cl, 2) == 0) {
                 cluster_wipe(cl, one);
             }
-            cluster_run(cl, (int64_t)cluster_draw(cl, 5) * SEC);
+            cluster_run(cl, (int64_t)cluster_random(cl, 5) * SEC);
             cluster_start(cl, one);
             cluster_run(cl, 3 * SEC);
         }
@@ -267,16 +267,16 @@
     CU_ASSERT_EQUAL(apply(&f, 4, "four").result, CONTROL_OK);
     CU_ASSERT_TRUE(apply(&f, 7, "another seven").resend);
     CU_ASSERT_EQUAL(f.version, 1);
-    CU_ASSERT_STRING_EQUAL(fsm_text(&f, f.version)->data, "seven");
+    CU_ASSERT_STRING_EQUAL(fsm_version_text(&f, f.version)->data, "seven");
     CU_ASSERT_EQUAL(apply(&f, 12, "twelve").result, CONTROL_OK);
     CU_ASSERT_EQUAL(f.rank, 12);
-    CU_ASSERT_STRING_EQUAL(fsm_text(&f, f.version)->data, "twelve");
+    CU_ASSERT_STRING_EQUAL(fsm_version_text(&f, f.version)->data, "twelve");
     state = fsm_encode(&f, 9, 1);
     fsm_free(&f);
     fsm_init(&f, control_options_default().limits);
     CU_ASSERT_TRUE(fsm_decode(&f, state, &index, &term));
     CU_ASSERT_TRUE(apply(&f, 12, "late").resend);
-    CU_ASSERT_STRING_EQUAL(fsm_text(&f, f.version)->data, "twelve");
+    CU_ASSERT_STRING_EQUAL(fsm_version_text(&f, f.version)->data, "twelve");
     blob_unref(state);
     fsm_free(&f);
 }
@@ -307,9 +307,9 @@
         struct cluster *cl = enrolling(3, seed);
         int64_t waited_us;
 
-        cl->options.first_us = 40 * USEC_PER_MSEC;
-        cl->delay_us = 4 * USEC_PER_MSEC;
-        cl->sync_us = 20 * USEC_PER_MSEC;
+        cl->options.startup_timeout_us = 40 * USEC_PER_MSEC;
+        cl->max_delay_us = 4 * USEC_PER_MSEC;
+        cl->max_sync_us = 20 * USEC_PER_MSEC;
         (void)cluster_await_leader(cl);
         for (int i = 0; i < 3; i++) {
             cluster_crash(cl, i);
--- a/tests/operator_test.c
+++ b/tests/operator_test.c
@@ -136,8 +136,8 @@
 body_result(enum control_route route, const char *body)
 {
     struct control_query query = {0};
-    struct control_refusal why = {.result = CONTROL_OK};
-    struct control_mail *m = control_request_mail(
+    struct control_rejection why = {.result = CONTROL_OK};
+    struct control_mail *m = control_request_parse(
         route, &query, name_of("alice"), body, strlen(body), 1, &why);
 
     control_mail_free(m);
