--- a/src/broker_state.h
+++ b/src/broker_state.h
@@ -7,8 +7,8 @@
  * long each may go on; broker_order.c decides which are let in and which go
  * first, broker_share.c what part of the room each queue may have,
  * broker_place.c where a task goes; broker_hold.c holds upstreams,
- * broker_linger.c goes on with them while a stop finds no successor,
- * broker_lease.c speaks with them, broker_trust.c judges them.  A part calls
+ * broker_shutdown.c goes on with them while a stop finds no successor,
+ * broker_lease.c speaks with them, broker_health.c judges them.  A part calls
  * those that stand behind it in this list, and those before it only through
  * the functions below.
  */
@@ -19,7 +19,7 @@
 #include <syslog.h>
 
 #include "broker.h"
-#include "learn.h"
+#include "estimate.h"
 #include "map.h"
 #include "table.h"
 #include "timers.h"
@@ -419,7 +419,7 @@
     size_t local_msgs_capacity;
 
     bool stopping;
-    bool draining; /* though it stops, see broker_linger.c */
+    bool draining; /* though it stops, see broker_shutdown.c */
     bool stopped_reported;
     int64_t stop_begun_us;
     int64_t ack_mean_us; /* mean time of an upstream's answer, as TCP reckons
@@ -771,7 +771,7 @@
 /* broker_answer.c */
 void answer_on_call_end(struct broker *b, const struct bev_called *c);
 
-/* broker_linger.c */
+/* broker_shutdown.c */
 
 /** shutdown_begin() - a planned stop has begun */
 void shutdown_begin(struct broker *b);
@@ -786,7 +786,7 @@
  */
 bool shutdown_accepts_job(const struct broker *b, const struct run_job *job);
 
-/* broker_trust.c */
+/* broker_health.c */
 /** broker_health_task_done() - a task ended well; @sample is how slow the
  * upstream was with it, and counts by @weight, 0 to 1 */
 void broker_health_task_done(struct broker *b, struct broker_upstream *u,
--- a/src/follow.c
+++ b/src/config_sync.c
@@ -1,4 +1,4 @@
-#include "follow.h"
+#include "config_sync.h"
 
 #include <stdlib.h>
 #include <syslog.h>
--- a/src/follow.h
+++ b/src/config_sync.h
@@ -1,12 +1,12 @@
 /**
- * DOC: follow - keeps up with the configuration in force
+ * DOC: config_sync - keeps up with the configuration in force
  *
  * One instance per zone long-polls a control process across zones, the others
  * poll it.  A restarted instance asks control first, then its zone's peers.
  * Only a version above the one in force is applied.
  */
-#ifndef BM_FOLLOW_H
-#define BM_FOLLOW_H
+#ifndef BM_CONFIG_SYNC_H
+#define BM_CONFIG_SYNC_H
 
 #include "entry_state.h"
 
--- a/src/dispatch_state.h
+++ b/src/dispatch_state.h
@@ -9,7 +9,7 @@
 #define BM_DISPATCH_STATE_H
 
 #include "entry_state.h"
-#include "learn.h"
+#include "estimate.h"
 #include "map.h"
 #include "place.h"
 #include "queue.h"
--- a/src/learn.c
+++ b/src/estimate.c
@@ -1,4 +1,4 @@
-#include "learn.h"
+#include "estimate.h"
 
 #include <math.h>
 #include <stdbool.h>
--- a/src/learn.h
+++ b/src/estimate.h
@@ -1,12 +1,12 @@
 /**
- * DOC: learn - run times learned from what ran
+ * DOC: estimate - run times learned from what ran
  *
  * Declared run times are often far off, though sometimes by a steady factor.
  * So two predictions are kept per service, the mean run time and the declared
  * one times the mean ratio, and the one that has erred less is used.
  */
-#ifndef BM_LEARN_H
-#define BM_LEARN_H
+#ifndef BM_ESTIMATE_H
+#define BM_ESTIMATE_H
 
 #include <stdint.h>
 
--- a/src/handover.c
+++ b/src/handover.c
@@ -6,7 +6,7 @@
 #include "holder.h"
 #include "job_state.h"
 #include "member.h"
-#include "moved.h"
+#include "successor.h"
 
 #define AGAIN_US (200 * USEC_PER_MSEC) /* until a batch is sent again */
 
--- a/src/job_peer.c
+++ b/src/job_peer.c
@@ -2,7 +2,7 @@
 
 #include "job_state.h"
 #include "member.h"
-#include "moved.h"
+#include "successor.h"
 
 static uint64_t
 wait_number(struct handle h)
--- a/src/jobs.h
+++ b/src/jobs.h
@@ -21,7 +21,7 @@
     uint16_t attempts; /* starts sent */
     bool ok;
     struct resources need;
-    int64_t run_us; /* expected, see learn.h */
+    int64_t run_us; /* expected, see estimate.h */
     struct blob *payload;
     struct blob *result;
     struct handle start; /* of dispatch.c: the start in flight */
--- a/src/member.c
+++ b/src/member.c
@@ -7,7 +7,7 @@
 #include "claim.h"
 #include "dispatch.h"
 #include "jobs.h"
-#include "moved.h"
+#include "successor.h"
 #include "upstream.h"
 
 enum {
--- a/src/moved.c
+++ b/src/successor.c
@@ -1,4 +1,4 @@
-#include "moved.h"
+#include "successor.h"
 
 #include <stdlib.h>
 #include <syslog.h>
--- a/src/moved.h
+++ b/src/successor.h
@@ -1,11 +1,11 @@
 /**
- * DOC: moved - which instance keeps the answers of one that stopped
+ * DOC: successor - which instance keeps the answers of one that stopped
  *
  * Told with the heartbeats by whoever knows, so that an instance that
  * restarted learns it again, and forgotten when the answers are.
  */
-#ifndef BM_MOVED_H
-#define BM_MOVED_H
+#ifndef BM_SUCCESSOR_H
+#define BM_SUCCESSOR_H
 
 #include "entry_state.h"
 
--- a/tests/handover_test.c
+++ b/tests/handover_test.c
@@ -6,7 +6,7 @@
 #include "entry_net.h"
 #include "jobs.h"
 #include "key.h"
-#include "moved.h"
+#include "successor.h"
 
 enum { PER_ZONE = 3, OTHER_ZONE = 3, NODES = 6 };
 
--- a/tests/health_test.c
+++ b/tests/health_test.c
@@ -1,6 +1,6 @@
 /* Quarantine, probes, and what is learned of run times. */
 #include "check.h"
-#include "learn.h"
+#include "estimate.h"
 #include "one_entry.h"
 
 #define RUN_US (100 * USEC_PER_MSEC)
