--- a/src/broker.c
+++ b/src/broker.c
@@ -16,7 +16,7 @@
 };
 /* Between decisions who holds what: each goes over all upstreams, and when a
  * region starts something changes with every message. */
-#define REVIEW_PAUSE_US (10 * USEC_PER_MSEC)
+#define REVIEW_INTERVAL_US (10 * USEC_PER_MSEC)
 
 struct broker_options
 broker_options_default(void)
@@ -170,7 +170,7 @@
 }
 
 static void
-on_message(struct broker *b, struct name from, const struct msg *m)
+dispatch_message(struct broker *b, struct name from, const struct msg *m)
 {
     switch (m->kind) {
     case MSG_INTRODUCTION:
@@ -212,12 +212,12 @@
 }
 
 static void
-take_local(struct broker *b)
+deliver_local_msgs(struct broker *b)
 {
     for (size_t i = 0; i < b->n_local_msgs; i++) {
         struct msg m = b->local_msgs[i];
 
-        on_message(b, b->opts.self, &m);
+        dispatch_message(b, b->opts.self, &m);
         msg_free(&m);
     }
     b->n_local_msgs = 0;
@@ -263,7 +263,7 @@
 }
 
 static void
-route(struct broker *b, const struct broker_event *ev)
+dispatch_event(struct broker *b, const struct broker_event *ev)
 {
     switch (ev->kind) {
     case BEV_SUBMIT:
@@ -279,7 +279,7 @@
         answer_on_call_end(b, &ev->u.called);
         break;
     case BEV_MESSAGE:
-        on_message(b, ev->u.message.from, ev->u.message.msg);
+        dispatch_message(b, ev->u.message.from, ev->u.message.msg);
         break;
     case BEV_PEER:
         peers_on_connection(b, ev->u.peer.peer, ev->u.peer.up);
@@ -295,7 +295,7 @@
 /* Done when no caller waits and nothing is held; callers that the platform
  * still sends are served until quit_us. */
 static void
-tell_stopped(struct broker *b)
+report_stopped(struct broker *b)
 {
     int64_t since = b->now.mono_us - b->stop_begun_us;
     bool idle =
@@ -321,7 +321,7 @@
     hold_tick(b);
     if (b->review_due && b->now.mono_us >= b->next_review_us) {
         b->review_due = false;
-        b->next_review_us = b->now.mono_us + REVIEW_PAUSE_US;
+        b->next_review_us = b->now.mono_us + REVIEW_INTERVAL_US;
         hold_reassign(b);
     }
     run_tick(b);
@@ -340,19 +340,19 @@
     }
     check_pause(b);
     b->last_step_us = b->now.mono_us;
-    route(b, ev);
-    take_local(b);
+    dispatch_event(b, ev);
+    deliver_local_msgs(b);
     tick(b);
-    take_local(b);
+    deliver_local_msgs(b);
     run_tick(b);
-    take_local(b);
+    deliver_local_msgs(b);
     hold_notify_zone(b);
-    tell_stopped(b);
+    report_stopped(b);
     b->fx = NULL;
 }
 
 static int64_t
-least(int64_t a, int64_t b)
+min_us(int64_t a, int64_t b)
 {
     return a < b ? a : b;
 }
@@ -362,18 +362,18 @@
 {
     int64_t at = b->now.mono_us + TICK_MAX_US;
 
-    at = least(at, peers_next_us(b));
-    at = least(at, config_next_us(b));
-    at = least(at, caller_next_us(b));
-    at = least(at, hold_next_us(b));
-    at = least(at, run_next_us(b));
-    at = least(at, shutdown_next_us(b));
-    at = least(at, renew_next_us(b));
-    at = b->review_due ? least(at, b->next_review_us) : at;
+    at = min_us(at, peers_next_us(b));
+    at = min_us(at, config_next_us(b));
+    at = min_us(at, caller_next_us(b));
+    at = min_us(at, hold_next_us(b));
+    at = min_us(at, run_next_us(b));
+    at = min_us(at, shutdown_next_us(b));
+    at = min_us(at, renew_next_us(b));
+    at = b->review_due ? min_us(at, b->next_review_us) : at;
     if (b->stopping && !b->stopped_reported) {
-        at = least(at, b->stop_begun_us + b->opts.stop_timeout_us);
+        at = min_us(at, b->stop_begun_us + b->opts.stop_timeout_us);
         if (b->stop_begun_us + b->opts.stop_accept_us > b->now.mono_us) {
-            at = least(at, b->stop_begun_us + b->opts.stop_accept_us);
+            at = min_us(at, b->stop_begun_us + b->opts.stop_accept_us);
         }
     }
     return at;
--- a/src/broker_answer.c
+++ b/src/broker_answer.c
@@ -10,21 +10,21 @@
 /* A run that has not moved on for so long, and for that multiple of the time
  * it should take in all, stands still. */
 #define STALL_MIN_US (150 * USEC_PER_MSEC)
-static const double STALL_RUNS = 0.6;
+static const double STALL_RUN_SHARE = 0.6;
 /* Until a stop without answer is sent again. */
-#define STOP_AGAIN_US (60 * USEC_PER_MSEC)
+#define STOP_RETRY_US (60 * USEC_PER_MSEC)
 /* An upstream without room is not asked again before this; its next end is
  * seen sooner, by the look. */
-#define NO_ROOM_US (30 * USEC_PER_MSEC)
+#define FULL_RETRY_US (30 * USEC_PER_MSEC)
 /* A start without answer may be carried out so much later. */
-#define LATE_START_US (12 * USEC_PER_SEC)
+#define LOST_START_MAX_US (12 * USEC_PER_SEC)
 /* Weight of a sample against the job's other tasks, which differ little; and
  * against what was declared, which says hardly anything of one upstream. */
 static const double SIBLINGS_WEIGHT = 0.3;
 static const double DECLARED_WEIGHT = 0.03;
 /* Percents a run must have come to before its pace is judged: earlier the way
  * to the upstream and the look's own grain are most of the time. */
-enum { PERCENT_FULL = 100, PERCENT_TELLS = 40 };
+enum { PERCENT_FULL = 100, PERCENT_MIN = 40 };
 
 static bool
 same_run(struct task_ref a, struct task_ref b)
@@ -34,25 +34,25 @@
 }
 
 static void
-note_answer(struct broker *b, int64_t took_us)
+update_ack_time(struct broker *b, int64_t took_us)
 {
-    int64_t off = took_us > b->ack_mean_us ? took_us - b->ack_mean_us
-                                           : b->ack_mean_us - took_us;
+    int64_t deviation_us = took_us > b->ack_mean_us ? took_us - b->ack_mean_us
+                                                    : b->ack_mean_us - took_us;
 
     if (b->ack_mean_us == 0) {
         b->ack_mean_us = took_us;
         b->ack_dev_us = took_us / 2;
         return;
     }
-    b->ack_dev_us += (off - b->ack_dev_us) / 4;
+    b->ack_dev_us += (deviation_us - b->ack_dev_us) / 4;
     b->ack_mean_us += (took_us - b->ack_mean_us) / 8;
 }
 
 /* Answers to looks */
 
 static struct run_task *
-placed_run(struct broker *b, const struct broker_upstream *u,
-           struct task_ref ref, struct run_job **job)
+find_placed_run(struct broker *b, const struct broker_upstream *u,
+                struct task_ref ref, struct run_job **job)
 {
     for (size_t i = 0; i < u->n_tasks; i++) {
         struct run_task *t = run_find_task(b, &u->tasks[i], job);
@@ -67,8 +67,9 @@
 /* How slow an upstream is shows best against the other tasks of the job: what
  * callers declare is off by half and more, and alike for all of them. */
 static void
-judge_speed(struct broker *b, struct broker_upstream *u,
-            const struct run_job *job, const struct run_task *t, double ran_us)
+sample_slowness(struct broker *b, struct broker_upstream *u,
+                const struct run_job *job, const struct run_task *t,
+                double ran_us)
 {
     double usual = (double)t->expected_us / u->slowness /
                    place_remote_factor(&job->groups[t->group], u);
@@ -84,8 +85,8 @@
 }
 
 static void
-ended_well(struct broker *b, struct broker_upstream *u, struct run_job *job,
-           struct run_task *t)
+on_run_done(struct broker *b, struct broker_upstream *u, struct run_job *job,
+            struct run_task *t)
 {
     const struct rec_task_group *g = &job->groups[t->group];
     double ran_us = (double)(b->now.mono_us - t->start_sent_us) /
@@ -97,18 +98,18 @@
     if (!b->opts.disabled[BROKER_FEATURE_LEARNED]) {
         order_record_run(job, g, (int64_t)ran_us + 1);
     }
-    judge_speed(b, u, job, t, ran_us);
+    sample_slowness(b, u, job, t, ran_us);
     job->n_done++;
     job->total_run_us += (int64_t)ran_us + 1;
     run_mark_done(b, job, t);
 }
 
 static void
-take_end(struct broker *b, struct broker_upstream *u,
-         const struct lease_ended *e)
+on_run_end(struct broker *b, struct broker_upstream *u,
+           const struct lease_ended *e)
 {
     struct run_job *job;
-    struct run_task *t = placed_run(b, u, e->task, &job);
+    struct run_task *t = find_placed_run(b, u, e->task, &job);
 
     if (t == NULL) {
         return; /* of a broker before us, or settled otherwise */
@@ -126,7 +127,7 @@
     }
     switch (e->outcome) {
     case LEASE_END_DONE:
-        ended_well(b, u, job, t);
+        on_run_done(b, u, job, t);
         break;
     case LEASE_END_FAILED:
         run_mark_failed(b, job, t);
@@ -143,8 +144,8 @@
 }
 
 static void
-take_ends(struct broker *b, struct broker_upstream *u,
-          const struct lease_answer *a)
+process_ends(struct broker *b, struct broker_upstream *u,
+             const struct lease_answer *a)
 {
     for (size_t i = 0; i < a->n_ended; i++) {
         if (a->ended[i].number <= u->last_end) {
@@ -153,7 +154,7 @@
         u->last_end = a->ended[i].number;
         u->ack_pending = true;
         if (u->state != HOLD_TAKING) {
-            take_end(b, u, &a->ended[i]);
+            on_run_end(b, u, &a->ended[i]);
         }
     }
 }
@@ -161,13 +162,13 @@
 /* What the share of its work that is done by now says of the upstream, against
  * the job's other tasks. */
 static void
-judge_pace(struct broker_upstream *u, const struct run_job *job,
-           const struct run_task *t, int64_t ran_us)
+sample_progress(struct broker_upstream *u, const struct run_job *job,
+                const struct run_task *t, int64_t ran_us)
 {
     double whole;
     double pace;
 
-    if (t->percent < PERCENT_TELLS || t->percent >= PERCENT_FULL ||
+    if (t->percent < PERCENT_MIN || t->percent >= PERCENT_FULL ||
         job->n_done < 2 || job->n_groups != 1) {
         return;
     }
@@ -180,11 +181,11 @@
 }
 
 static void
-seen_running(struct broker *b, struct broker_upstream *u, struct run_job *job,
-             struct run_task *t, uint32_t percent)
+update_running(struct broker *b, struct broker_upstream *u,
+               struct run_job *job, struct run_task *t, uint32_t percent)
 {
-    int64_t still_us;
-    double allowed = STALL_RUNS * (double)t->expected_us;
+    int64_t stalled_us;
+    double allowed = STALL_RUN_SHARE * (double)t->expected_us;
 
     if (t->state == RUN_STARTING || t->state == RUN_UNRESOLVED) {
         t->state = RUN_RUNNING;
@@ -197,18 +198,18 @@
         t->percent = percent;
         t->progress_us = b->now.mono_us;
         if (!b->opts.disabled[BROKER_FEATURE_SLOW]) {
-            judge_pace(u, job, t, b->now.mono_us - t->start_sent_us);
+            sample_progress(u, job, t, b->now.mono_us - t->start_sent_us);
         }
         return;
     }
-    still_us = b->now.mono_us - t->progress_us;
-    if (still_us > STALL_MIN_US && (double)still_us > allowed &&
+    stalled_us = b->now.mono_us - t->progress_us;
+    if (stalled_us > STALL_MIN_US && (double)stalled_us > allowed &&
         !b->opts.disabled[BROKER_FEATURE_STALLED]) {
         b->counters.tasks_stalled++;
         broker_log(b, LOG_NOTICE, BROKER_RUN_STALLED, job->id,
                    run_task_number(job, t), u->name,
                    "run %llu at %u %% for %lld ms", (unsigned long long)t->run,
-                   percent, (long long)(still_us / USEC_PER_MSEC));
+                   percent, (long long)(stalled_us / USEC_PER_MSEC));
         broker_health_task_failed(b, u);
         t->avoid_upstream = u->name;
         lease_stop(b, u, job, t);
@@ -217,36 +218,37 @@
 
 /* Whether something runs there that is not ours; it is stopped. */
 static bool
-take_running(struct broker *b, struct broker_upstream *u,
-             const struct lease_answer *a)
+process_running(struct broker *b, struct broker_upstream *u,
+                const struct lease_answer *a)
 {
-    bool strangers = false;
+    bool found_unknown = false;
 
     for (size_t i = 0; i < a->n_running; i++) {
         const struct lease_running *r = &a->running[i];
         struct run_job *job;
-        struct run_task *t =
-            u->state == HOLD_TAKING ? NULL : placed_run(b, u, r->task, &job);
+        struct run_task *t = u->state == HOLD_TAKING
+                                 ? NULL
+                                 : find_placed_run(b, u, r->task, &job);
 
         if (t != NULL) {
-            seen_running(b, u, job, t, r->percent);
+            update_running(b, u, job, t, r->percent);
             continue;
         }
         if (b->opts.breaks[BROKER_BREAK_KEEP_STRANGERS]) {
             continue;
         }
-        strangers = true;
+        found_unknown = true;
         b->counters.strangers_stopped++;
         broker_log(b, LOG_NOTICE, BROKER_STRANGER, r->task.job, -1, u->name,
                    "group %u, task %u, run %llu", r->task.group, r->task.index,
                    (unsigned long long)r->task.run);
         lease_send_stop(b, u, r->task, (struct handle){0}, 0);
     }
-    return strangers;
+    return found_unknown;
 }
 
 static bool
-is_running(const struct lease_answer *a, struct task_ref ref)
+is_listed_running(const struct lease_answer *a, struct task_ref ref)
 {
     for (size_t i = 0; i < a->n_running; i++) {
         if (same_run(a->running[i].task, ref)) {
@@ -260,8 +262,8 @@
  * confirmed before the look was sent, or whose start is refused as late by
  * now, will never run. */
 static void
-settle(struct broker *b, struct broker_upstream *u,
-       const struct lease_answer *a, int64_t sent_us)
+resolve_unlisted(struct broker *b, struct broker_upstream *u,
+                 const struct lease_answer *a, int64_t sent_us)
 {
     int64_t late_us =
         b->opts.lease_us +
@@ -278,7 +280,7 @@
             continue; /* settling one may have ended its job */
         }
         t = run_find_task(b, &u->tasks[i - 1], &job);
-        if (is_running(a, lease_task_ref(job, t))) {
+        if (is_listed_running(a, lease_task_ref(job, t))) {
             continue;
         }
         stopped = t->stop_confirmed_us <= sent_us;
@@ -300,67 +302,68 @@
 }
 
 static void
-stop_again(struct broker *b, struct broker_upstream *u)
+resend_stops(struct broker *b, struct broker_upstream *u)
 {
     for (size_t i = 0; i < u->n_tasks; i++) {
         struct run_job *job;
         struct run_task *t = run_find_task(b, &u->tasks[i], &job);
 
         if (t->state == RUN_STOPPING && t->stop_confirmed_us == INT64_MAX &&
-            b->now.mono_us - t->stop_sent_us >= STOP_AGAIN_US) {
+            b->now.mono_us - t->stop_sent_us >= STOP_RETRY_US) {
             lease_stop(b, u, job, t);
         }
     }
 }
 
 static void
-on_peek(struct broker *b, struct broker_upstream *u,
-        const struct lease_answer *a, int64_t sent_us)
+on_quick_poll(struct broker *b, struct broker_upstream *u,
+              const struct lease_answer *a, int64_t sent_us)
 {
     if (a->result != LEASE_OK || u->state != HOLD_OPEN) {
         return;
     }
-    take_ends(b, u, a);
-    settle(b, u, a, sent_us);
-    stop_again(b, u);
+    process_ends(b, u, a);
+    resolve_unlisted(b, u, a, sent_us);
+    resend_stops(b, u);
 }
 
 static void
-on_look(struct broker *b, struct broker_upstream *u,
+on_poll(struct broker *b, struct broker_upstream *u,
         const struct lease_answer *a, int64_t sent_us, bool stale)
 {
-    bool strangers;
+    bool found_unknown;
 
     if (a->result != LEASE_OK) {
         hold_on_poll_failure(b, u);
         return;
     }
-    take_ends(b, u, a);
+    process_ends(b, u, a);
     if (stale) {
         /* A peek that was answered meanwhile knew better what runs. */
         hold_on_poll_answer(b, u, u->unknown_runs);
         return;
     }
-    strangers = take_running(b, u, a);
+    found_unknown = process_running(b, u, a);
     if (u->state != HOLD_TAKING) {
-        settle(b, u, a, sent_us);
-        stop_again(b, u);
+        resolve_unlisted(b, u, a, sent_us);
+        resend_stops(b, u);
     }
-    hold_on_poll_answer(b, u, strangers);
+    hold_on_poll_answer(b, u, found_unknown);
 }
 
 /* Answers to starts and stops */
 
 static void
-start_refused(struct broker *b, struct broker_upstream *u, struct run_job *job,
-              struct run_task *t, enum lease_result result)
+on_start_refused(struct broker *b, struct broker_upstream *u,
+                 struct run_job *job, struct run_task *t,
+                 enum lease_result result)
 {
     b->counters.starts_refused++;
     broker_log(b, LOG_INFO, BROKER_START_REFUSED, job->id,
                run_task_number(job, t), u->name, "run %llu: %s",
                (unsigned long long)t->run, lease_result_text(result));
     if (result == LEASE_NO_CAPACITY) {
-        u->full_until_us = b->now.mono_us + NO_ROOM_US;
+        u->full_until_us = b->now.mono_us + FULL_RETRY_US;
         u->poll_us = u->poll == 0 ? b->now.mono_us : u->poll_us;
     }
     else if (result == LEASE_UNHEALTHY || result == LEASE_UNSENT ||
@@ -376,11 +379,11 @@
 }
 
 static void
-note_lost(struct broker_upstream *u, struct run_task *t)
+record_lost_start(struct broker_upstream *u, struct run_task *t)
 {
     t->lost_start_upstream = u->self;
     t->lost_start_fence = u->fence;
-    t->lost_start_until_us = t->start_sent_us + LATE_START_US;
+    t->lost_start_until_us = t->start_sent_us + LOST_START_MAX_US;
     u->lost_start_until_us = t->lost_start_until_us;
 }
 
@@ -408,7 +411,7 @@
             run_mark_ready(b, job, t);
             break;
         }
-        note_lost(u, t);
+        record_lost_start(u, t);
         if (b->opts.disabled[BROKER_FEATURE_LOST_STARTS]) {
             t->state = RUN_UNRESOLVED;
             break;
@@ -416,7 +419,7 @@
         lease_stop(b, u, job, t);
         break;
     default:
-        start_refused(b, u, job, t, result);
+        on_start_refused(b, u, job, t, result);
         break;
     }
 }
@@ -437,7 +440,8 @@
 
 /* The task a call was about, if it is still about that run. */
 static struct run_task *
-task_of(struct broker *b, const struct broker_call *c, struct run_job **job)
+find_call_task(struct broker *b, const struct broker_call *c,
+               struct run_job **job)
 {
     struct run_task *t;
 
@@ -455,7 +459,7 @@
              const struct broker_call *c, enum lease_result result)
 {
     struct run_job *job;
-    struct run_task *t = task_of(b, c, &job);
+    struct run_task *t = find_call_task(b, c, &job);
 
     if (t == NULL) {
         return;
@@ -480,8 +484,8 @@
 
 /* True when the answer is of another life than the one we hold. */
 static bool
-other_life(struct broker *b, struct broker_upstream *u,
-           const struct lease_answer *a)
+is_other_incarnation(struct broker *b, struct broker_upstream *u,
+                     const struct lease_answer *a)
 {
     if (a->born_ms == 0 || a->born_ms == u->born_ms) {
         return false;
@@ -493,18 +497,18 @@
 }
 
 static void
-on_any_look(struct broker *b, struct broker_upstream *u,
+on_any_poll(struct broker *b, struct broker_upstream *u,
             const struct lease_answer *a, const struct broker_call *c,
-            bool peek, bool stale)
+            bool quick, bool stale)
 {
     if (u->state == HOLD_NONE || u->state == HOLD_LOST) {
         return;
     }
-    if (peek) {
-        on_peek(b, u, a, c->sent_us);
+    if (quick) {
+        on_quick_poll(b, u, a, c->sent_us);
     }
     else {
-        on_look(b, u, a, c->sent_us, stale);
+        on_poll(b, u, a, c->sent_us, stale);
     }
 }
 
@@ -516,7 +520,7 @@
     const struct lease_answer *a = &called->answer;
     struct broker_upstream *u;
     struct broker_call c;
-    bool peek = false;
+    bool quick = false;
     bool stale;
 
     if (found == NULL) {
@@ -533,7 +537,7 @@
     }
     if (u->quick_poll == called->call) {
         u->quick_poll = 0;
-        peek = true;
+        quick = true;
     }
     /* Of before it was taken anew: its clock and lists are another's. */
     if (c.born_ms != u->born_ms || c.fence != u->fence) {
@@ -543,7 +547,7 @@
         }
         return;
     }
-    if (other_life(b, u, a)) {
+    if (is_other_incarnation(b, u, a)) {
         return;
     }
     if (a->result == LEASE_FENCED && u->state != HOLD_NONE &&
@@ -556,11 +560,11 @@
         sync_clock(b, u, a);
     }
     if (c.kind == LEASE_POLL) {
-        on_any_look(b, u, a, &c, peek, stale);
+        on_any_poll(b, u, a, &c, quick, stale);
         return;
     }
     if (a->result != LEASE_NO_ANSWER && a->result != LEASE_UNSENT) {
-        note_answer(b, b->now.mono_us - c.sent_us);
+        update_ack_time(b, b->now.mono_us - c.sent_us);
     }
     on_task_call(b, u, &c, a->result);
 }
--- a/src/broker_caller.c
+++ b/src/broker_caller.c
@@ -8,31 +8,32 @@
 #include "broker_state.h"
 
 enum {
-    MOVES_MAX = 3, /* runners that a job is offered to */
+    REOFFERS_MAX = 3, /* runners that a job is offered to */
 };
 
 /* What a job loses by going to another zone: a round trip there, and the
  * bytes.  Smaller differences in waiting are not worth it. */
-#define OTHER_ZONE_US (8 * USEC_PER_MSEC)
+#define CROSS_ZONE_COST_US (8 * USEC_PER_MSEC)
 /* Nothing runs where room should come free: wait for others rather. */
-#define LOST_RUNNER_US (10 * USEC_PER_SEC)
+#define STALLED_RUNNER_US (10 * USEC_PER_SEC)
 /* A refusal for want of a runner: about as long as brokers need to take over
  * what a lost one held. */
 #define NO_RUNNER_RETRY_US (1 * USEC_PER_SEC)
 /* What is declared may take three times as long, and has to be placed. */
-enum { STOP_RUNS = 3 };
-#define STOP_SPARE_US (300 * USEC_PER_MSEC)
+enum { STOP_RUN_FACTOR = 3 };
+#define STOP_MARGIN_US (300 * USEC_PER_MSEC)
 /* Callers that are told to come back at the same time would come back as one
  * burst; they are spread by up to half the time. */
-enum { RETRY_SPREAD = 2 };
+enum { RETRY_JITTER_DIVISOR = 2 };
 
 static int64_t
-spread_retry(struct broker *b, int64_t us)
+add_retry_jitter(struct broker *b, int64_t us)
 {
     if (us <= 0) {
         return 0;
     }
-    return us + (int64_t)broker_random(b, (uint64_t)us / RETRY_SPREAD + 1);
+    return us +
+           (int64_t)broker_random(b, (uint64_t)us / RETRY_JITTER_DIVISOR + 1);
 }
 
 static void
@@ -61,20 +62,20 @@
 }
 
 static void
-answer(struct broker *b, uint64_t request, uint64_t id,
-       enum job_outcome outcome, enum broker_reason reason, int64_t retry_us,
-       const char *detail)
+send_answer(struct broker *b, uint64_t request, uint64_t id,
+            enum job_outcome outcome, enum broker_reason reason,
+            int64_t retry_us, const char *detail)
 {
     struct be_answer *a = &broker_effects_add(b->fx, BE_ANSWER)->u.answer;
-    bool well = outcome == JOB_COMPLETED_OUTCOME;
+    bool completed = outcome == JOB_COMPLETED_OUTCOME;
 
     a->request = request;
     a->outcome = outcome;
     a->reason = reason;
-    a->retry_after_us = spread_retry(b, retry_us);
+    a->retry_after_us = add_retry_jitter(b, retry_us);
     count_outcome(b, outcome);
-    broker_log(b, well ? LOG_INFO : LOG_NOTICE, reason, id, -1, name_of(""),
-               "%s; %s", job_outcome_text(outcome), detail);
+    broker_log(b, completed ? LOG_INFO : LOG_NOTICE, reason, id, -1,
+               name_of(""), "%s; %s", job_outcome_text(outcome), detail);
 }
 
 static bool
@@ -84,7 +85,7 @@
 }
 
 static void
-drop_job(struct broker *b, struct caller_job *c)
+remove_job(struct broker *b, struct caller_job *c)
 {
     b->n_unoffered -= is_offered(c) ? 0 : 1;
     msg_free(&c->offer);
@@ -104,15 +105,15 @@
         c->offer.u.job_offer.queue.s, c->runner.s,
         (long long)((b->now.mono_us - c->accepted_us) / USEC_PER_MSEC),
         c->reoffers);
-    answer(b, c->request, c->offer.u.job_offer.id, outcome, reason, retry_us,
-           detail);
-    drop_job(b, c);
+    send_answer(b, c->request, c->offer.u.job_offer.id, outcome, reason,
+                retry_us, detail);
+    remove_job(b, c);
 }
 
 /* Choosing a runner */
 
 static struct broker_load *
-load_of(const struct broker_peer *p, struct name service)
+find_load(const struct broker_peer *p, struct name service)
 {
     for (size_t i = 0; i < p->n_loads; i++) {
         if (name_equal(p->loads[i].reported.service, service)) {
@@ -123,7 +124,7 @@
 }
 
 static uint64_t
-cpu_of(const struct rec_job_offer *o)
+first_groups_milli(const struct rec_job_offer *o)
 {
     uint64_t cpu = 0;
 
@@ -137,41 +138,41 @@
 
 /* What has to fit there before the job's first groups have all started. */
 static uint64_t
-wanted_there(const struct broker_load *l, const struct rec_job_offer *o)
+needed_milli(const struct broker_load *l, const struct rec_job_offer *o)
 {
     uint64_t ahead = o->priority == 0   ? l->reported.queued0_milli
                      : o->priority == 1 ? l->reported.queued1_milli
                                         : l->reported.queued2_milli;
 
-    return ahead + l->sent_milli + cpu_of(o);
+    return ahead + l->sent_milli + first_groups_milli(o);
 }
 
 /* Until all tasks of the job's first groups have room there: what is free now,
  * less what waits before them, and then as room comes free. */
 static int64_t
-wait_there_us(const struct broker_load *l, const struct rec_job_offer *o)
+expected_wait_us(const struct broker_load *l, const struct rec_job_offer *o)
 {
-    uint64_t wanted = wanted_there(l, o);
+    uint64_t needed = needed_milli(l, o);
 
-    if (wanted <= l->reported.free_milli) {
+    if (needed <= l->reported.free_milli) {
         return 0;
     }
     if (l->reported.rate == 0) {
-        return LOST_RUNNER_US;
+        return STALLED_RUNNER_US;
     }
-    return (int64_t)((wanted - l->reported.free_milli) * 1000 /
+    return (int64_t)((needed - l->reported.free_milli) * 1000 /
                      l->reported.rate);
 }
 
 /* Milli-cores that are left there when the job has started; at least one, so
  * that the draw below has something to draw from. */
 static uint64_t
-left_there(const struct broker_load *l, const struct rec_job_offer *o)
+remaining_milli(const struct broker_load *l, const struct rec_job_offer *o)
 {
-    uint64_t wanted = wanted_there(l, o);
+    uint64_t needed = needed_milli(l, o);
 
-    return wanted < l->reported.free_milli
-               ? l->reported.free_milli - wanted + 1
+    return needed < l->reported.free_milli
+               ? l->reported.free_milli - needed + 1
                : 1;
 }
 
@@ -185,10 +186,10 @@
 {
     struct broker_peer *best = NULL;
     int64_t best_us = INT64_MAX;
-    uint64_t left = 0; /* at all that are as good as the best */
+    uint64_t total = 0; /* at all that are as good as the best */
 
     for (struct broker_peer *p = b->peers; p != NULL; p = p->next) {
-        struct broker_load *l = load_of(p, o->service);
+        struct broker_load *l = find_load(p, o->service);
         int64_t us;
 
         if (l == NULL || !peers_can_run_jobs(p) ||
@@ -199,13 +200,13 @@
             !name_equal(p->zone, b->opts.zone)) {
             continue;
         }
-        us = wait_there_us(l, o);
-        us += name_equal(p->zone, b->opts.zone) ? 0 : OTHER_ZONE_US;
+        us = expected_wait_us(l, o);
+        us += name_equal(p->zone, b->opts.zone) ? 0 : CROSS_ZONE_COST_US;
         if (us > best_us) {
             continue;
         }
-        left = left_there(l, o) + (us < best_us ? 0 : left);
-        if (us < best_us || broker_random(b, left) < left_there(l, o)) {
+        total = remaining_milli(l, o) + (us < best_us ? 0 : total);
+        if (us < best_us || broker_random(b, total) < remaining_milli(l, o)) {
             best = p;
         }
         best_us = us;
@@ -216,15 +217,15 @@
 /* Between two reports every job would go to the same runner, the one that was
  * idle last: what is sent there counts at once. */
 static void
-note_sent(struct broker_peer *p, const struct rec_job_offer *o)
+count_sent_work(struct broker_peer *p, const struct rec_job_offer *o)
 {
-    struct broker_load *l = load_of(p, o->service);
+    struct broker_load *l = find_load(p, o->service);
 
-    l->sent_milli += cpu_of(o);
+    l->sent_milli += first_groups_milli(o);
 }
 
 static bool
-offer(struct broker *b, struct caller_job *c, struct name except)
+offer_job(struct broker *b, struct caller_job *c, struct name except)
 {
     struct rec_job_offer *o = &c->offer.u.job_offer;
     struct broker_peer *p = choose_runner(b, o, except);
@@ -233,7 +234,7 @@
     if (p == NULL) {
         return false;
     }
-    note_sent(p, o);
+    count_sent_work(p, o);
     c->runner = p->name;
     c->confirmed_us = b->now.mono_us;
     o->heard_us = renew_confirmable_us(b, p);
@@ -265,7 +266,7 @@
 }
 
 static void
-offer_waiting(struct broker *b)
+offer_unoffered(struct broker *b)
 {
     struct caller_job *c;
     struct handle h;
@@ -276,7 +277,7 @@
         if (is_offered(c)) {
             continue;
         }
-        if (offer(b, c, name_of(""))) {
+        if (offer_job(b, c, name_of(""))) {
             b->n_unoffered--;
         }
         else if (!runner_expected(b)) {
@@ -321,11 +322,11 @@
     for (size_t i = 0; i < s->n_groups; i++) {
         declared += s->groups[i].declared_us;
     }
-    return (int64_t)declared * STOP_RUNS + STOP_SPARE_US < left;
+    return (int64_t)declared * STOP_RUN_FACTOR + STOP_MARGIN_US < left;
 }
 
 static enum broker_reason
-refuse_at_once(const struct broker *b, const struct bev_submit *s)
+early_refusal(const struct broker *b, const struct bev_submit *s)
 {
     int64_t since = b->now.mono_us - b->stop_begun_us;
 
@@ -339,15 +340,15 @@
 void
 caller_on_submit(struct broker *b, const struct bev_submit *s)
 {
-    enum broker_reason reason = refuse_at_once(b, s);
+    enum broker_reason reason = early_refusal(b, s);
     struct handle h;
     struct caller_job *c;
     int64_t timeout_us;
 
     b->counters.jobs_submitted++;
     if (reason != BROKER_NONE) {
-        answer(b, s->request, s->id, JOB_REFUSED_OUTCOME, reason,
-               NO_RUNNER_RETRY_US, "at once");
+        send_answer(b, s->request, s->id, JOB_REFUSED_OUTCOME, reason,
+                    NO_RUNNER_RETRY_US, "at once");
         return;
     }
     /* The queue's timeout is for callers that don't tell how long they wait:
@@ -360,7 +361,7 @@
     c->deadline_us = b->now.mono_us + timeout_us;
     fill_offer(c, s);
     timers_add(&b->caller_timers, c->deadline_us, h);
-    if (offer(b, c, name_of(""))) {
+    if (offer_job(b, c, name_of(""))) {
         return;
     }
     b->n_unoffered++;
@@ -370,7 +371,7 @@
 }
 
 static void
-tell_drop(struct broker *b, const struct caller_job *c)
+send_drop(struct broker *b, const struct caller_job *c)
 {
     struct msg m = {.kind = MSG_JOB_DROP};
 
@@ -395,8 +396,8 @@
                        c->offer.u.job_offer.id, -1, c->runner, "after %lld ms",
                        (long long)((b->now.mono_us - c->accepted_us) /
                                    USEC_PER_MSEC));
-            tell_drop(b, c);
-            drop_job(b, c);
+            send_drop(b, c);
+            remove_job(b, c);
             return;
         }
     }
@@ -413,7 +414,7 @@
 
     while ((c = table_next(&b->caller_jobs, &at, &h)) != NULL) {
         if (c->offer.u.job_offer.id == cancel->id) {
-            tell_drop(b, c);
+            send_drop(b, c);
             answer_job(b, c, JOB_CANCELLED_OUTCOME, BROKER_CANCELLED, 0);
             found = true;
         }
@@ -437,10 +438,10 @@
         return;
     }
     reason = (enum broker_reason)e->reason;
-    if (e->outcome == JOB_RETURNED_OUTCOME && c->reoffers < MOVES_MAX) {
+    if (e->outcome == JOB_RETURNED_OUTCOME && c->reoffers < REOFFERS_MAX) {
         c->reoffers++;
         b->counters.jobs_moved++;
-        if (offer(b, c, from)) {
+        if (offer_job(b, c, from)) {
             return;
         }
     }
@@ -465,9 +466,10 @@
 
     while ((c = table_next(&b->caller_jobs, &at, &h)) != NULL) {
         if (name_equal(c->runner, runner)) {
-            bool wrong = b->opts.breaks[BROKER_BREAK_LOST_NOT_RUN];
+            bool claim_not_run = b->opts.breaks[BROKER_BREAK_LOST_NOT_RUN];
 
-            answer_job(b, c, wrong ? JOB_REFUSED_OUTCOME : JOB_LOST_OUTCOME,
+            answer_job(b, c,
+                       claim_not_run ? JOB_REFUSED_OUTCOME : JOB_LOST_OUTCOME,
                        BROKER_RUNNER_LOST, 0);
         }
     }
@@ -479,13 +481,13 @@
     struct handle h;
 
     if (b->n_unoffered > 0 && (b->runners_updated || !runner_expected(b))) {
-        offer_waiting(b);
+        offer_unoffered(b);
     }
     while (timers_pop(&b->caller_timers, b->now.mono_us, &h)) {
         struct caller_job *c = table_get(&b->caller_jobs, h);
 
         if (c != NULL) {
-            tell_drop(b, c);
+            send_drop(b, c);
             answer_job(b, c, JOB_EXPIRED_OUTCOME, BROKER_DEADLINE, 0);
         }
     }
--- a/src/broker_config.c
+++ b/src/broker_config.c
@@ -14,18 +14,18 @@
 
 /* Between two questions for a newer version that were not answered: longer
  * than control keeps a poll open. */
-#define POLL_AGAIN_US (5 * USEC_PER_SEC)
+#define POLL_RETRY_US (5 * USEC_PER_SEC)
 /* The members of control learn of a change within a heartbeat of each other.
  * So long a registry of this zone may take to tell of it, since a text from
  * another zone costs more. */
-#define NEAR_US (100 * USEC_PER_MSEC)
+#define SAME_ZONE_WAIT_US (100 * USEC_PER_MSEC)
 /* A text that is still under way must not be asked for again and again, so
  * each time it is waited for longer. */
-#define FETCH_US (1 * USEC_PER_SEC)
-enum { FETCH_GROWTH = 2 };
+#define FETCH_TIMEOUT_US (1 * USEC_PER_SEC)
+enum { FETCH_TIMEOUT_GROWTH = 2 };
 
 static uint64_t
-newest_told(const struct broker *b)
+newest_reported(const struct broker *b)
 {
     uint64_t newest = b->config_version;
 
@@ -40,19 +40,19 @@
 bool
 broker_config_outdated(const struct broker *b)
 {
-    return newest_told(b) > b->config_version;
+    return newest_reported(b) > b->config_version;
 }
 
 /* Asking */
 
 static bool
-fetching(const struct broker *b)
+is_fetching(const struct broker *b)
 {
     return !name_empty(b->fetch.source);
 }
 
 static void
-ask(struct broker *b, struct broker_peer *p, bool version_only)
+send_request(struct broker *b, struct broker_peer *p, bool version_only)
 {
     struct msg m = {.kind = MSG_CONFIG_REQUEST};
     struct rec_config_request *r = &m.u.config_request;
@@ -66,21 +66,21 @@
     if (version_only && p->reported_version > b->config_version) {
         r->known_version = p->reported_version;
     }
-    p->config_poll_us = b->now.mono_us + POLL_AGAIN_US;
+    p->config_poll_us = b->now.mono_us + POLL_RETRY_US;
     broker_send(b, p->name, &m);
 }
 
 static bool
-is_near(const struct broker *b, const struct broker_peer *p)
+is_same_zone(const struct broker *b, const struct broker_peer *p)
 {
     return name_equal(p->zone, b->opts.zone);
 }
 
 /* Registries of this zone first, and last those that kept it waiting. */
 static int
-cost(const struct broker *b, const struct broker_peer *p)
+source_cost(const struct broker *b, const struct broker_peer *p)
 {
-    return (p->fetch_timed_out ? 2 : 0) + (is_near(b, p) ? 0 : 1);
+    return (p->fetch_timed_out ? 2 : 0) + (is_same_zone(b, p) ? 0 : 1);
 }
 
 /* One of those that told of @version, drawn among the best. */
@@ -88,18 +88,18 @@
 choose_source(struct broker *b, uint64_t version)
 {
     struct broker_peer *best = NULL;
-    uint64_t alike = 0;
+    uint64_t n_best = 0;
 
     for (struct broker_peer *p = b->peers; p != NULL; p = p->next) {
         if (!p->up || p->reported_version < version) {
             continue;
         }
-        if (best == NULL || cost(b, p) < cost(b, best)) {
+        if (best == NULL || source_cost(b, p) < source_cost(b, best)) {
             best = p;
-            alike = 1;
+            n_best = 1;
         }
-        else if (cost(b, p) == cost(b, best) &&
-                 broker_random(b, ++alike) == 0) {
+        else if (source_cost(b, p) == source_cost(b, best) &&
+                 broker_random(b, ++n_best) == 0) {
             best = p;
         }
     }
@@ -107,10 +107,11 @@
 }
 
 static bool
-near_registry_up(const struct broker *b)
+zone_registry_up(const struct broker *b)
 {
     for (const struct broker_peer *p = b->peers; p != NULL; p = p->next) {
-        if (p->registry && p->up && !p->fetch_timed_out && is_near(b, p)) {
+        if (p->registry && p->up && !p->fetch_timed_out &&
+            is_same_zone(b, p)) {
             return true;
         }
     }
@@ -118,7 +119,7 @@
 }
 
 static void
-give_up_source(struct broker *b)
+abandon_source(struct broker *b)
 {
     struct broker_peer *p = peers_find(b, b->fetch.source);
 
@@ -129,16 +130,16 @@
         p->fetch_timed_out = true;
     }
     b->fetch.source = name_of("");
-    b->fetch.timeout_us *= FETCH_GROWTH;
+    b->fetch.timeout_us *= FETCH_TIMEOUT_GROWTH;
 }
 
 /* Nothing newer is known of: whoever was asked before need not answer. */
 static void
-end_fetch(struct config_fetch *f)
+reset_fetch(struct config_fetch *f)
 {
     f->source = name_of("");
     f->first_reported_us = 0;
-    f->timeout_us = FETCH_US;
+    f->timeout_us = FETCH_TIMEOUT_US;
 }
 
 static void
@@ -147,32 +148,32 @@
     struct config_fetch *f = &b->fetch;
     struct broker_peer *source = choose_source(b, version);
 
-    if (!is_near(b, source) && near_registry_up(b) &&
-        b->now.mono_us < f->first_reported_us + NEAR_US) {
+    if (!is_same_zone(b, source) && zone_registry_up(b) &&
+        b->now.mono_us < f->first_reported_us + SAME_ZONE_WAIT_US) {
         return;
     }
     f->source = source->name;
     f->timeout_at_us = b->now.mono_us + f->timeout_us;
-    ask(b, source, false);
+    send_request(b, source, false);
 }
 
 void
 config_tick(struct broker *b)
 {
-    uint64_t newest = newest_told(b);
+    uint64_t newest = newest_reported(b);
 
-    if (fetching(b) && b->now.mono_us >= b->fetch.timeout_at_us) {
-        give_up_source(b);
+    if (is_fetching(b) && b->now.mono_us >= b->fetch.timeout_at_us) {
+        abandon_source(b);
     }
     if (newest == b->config_version) {
-        end_fetch(&b->fetch);
+        reset_fetch(&b->fetch);
     }
-    else if (!fetching(b)) {
+    else if (!is_fetching(b)) {
         begin_fetch(b, newest);
     }
     for (struct broker_peer *p = b->peers; p != NULL; p = p->next) {
         if (p->registry && p->up && b->now.mono_us >= p->config_poll_us) {
-            ask(b, p, true);
+            send_request(b, p, true);
         }
     }
 }
@@ -182,11 +183,11 @@
 {
     int64_t at = INT64_MAX;
 
-    if (fetching(b)) {
+    if (is_fetching(b)) {
         at = b->fetch.timeout_at_us;
     }
     else if (b->fetch.first_reported_us > 0) {
-        at = b->fetch.first_reported_us + NEAR_US;
+        at = b->fetch.first_reported_us + SAME_ZONE_WAIT_US;
     }
     for (const struct broker_peer *p = b->peers; p != NULL; p = p->next) {
         if (p->registry && p->up && p->config_poll_us < at) {
@@ -259,7 +260,8 @@
 }
 
 static void
-take_text(struct broker *b, struct name from, const struct rec_config_reply *r)
+receive_text(struct broker *b, struct name from,
+             const struct rec_config_reply *r)
 {
     struct blob *text;
 
@@ -296,7 +298,7 @@
     }
     if (r->config != NULL) {
         p->fetch_timed_out = false;
-        take_text(b, from, r);
+        receive_text(b, from, r);
     }
     if (broker_config_outdated(b) && b->fetch.first_reported_us == 0) {
         b->fetch.first_reported_us = b->now.mono_us;
--- a/src/broker_place.c
+++ b/src/broker_place.c
@@ -9,9 +9,9 @@
 static const double REMOTE_FACTOR = 1.5;
 /* An upstream this much slower than usual gets work only to see whether it has
  * recovered. */
-static const double TOO_SLOW = 2.5;
+static const double USABLE_SLOWNESS_MAX = 2.5;
 /* Run times closer than this share are taken as equal. */
-static const double EQUAL_SHARE = 0.1;
+static const double RUN_TIME_TOLERANCE = 0.1;
 
 static bool
 has_label(const struct broker_upstream *u, struct name label)
@@ -25,7 +25,7 @@
 }
 
 static struct resources
-need_of(const struct rec_task_group *g)
+required_resources(const struct rec_task_group *g)
 {
     return (struct resources){.cpu_milli = (uint32_t)g->cpu_milli,
                               .memory_mb = (uint32_t)g->memory_mb,
@@ -33,7 +33,7 @@
 }
 
 static struct resources
-room_of(const struct broker_upstream *u)
+free_resources(const struct broker_upstream *u)
 {
     return (struct resources){
         .cpu_milli = u->capacity.cpu_milli - u->used.cpu_milli,
@@ -42,7 +42,8 @@
 }
 
 static bool
-suits(const struct rec_task_group *g, const struct broker_upstream *u)
+meets_requirement(const struct rec_task_group *g,
+                  const struct broker_upstream *u)
 {
     return name_empty(g->requirement) || has_label(u, g->requirement);
 }
@@ -57,8 +58,8 @@
 }
 
 static int64_t
-expected_there_us(int64_t usual_us, const struct rec_task_group *g,
-                  const struct broker_upstream *u)
+scaled_run_us(int64_t usual_us, const struct rec_task_group *g,
+              const struct broker_upstream *u)
 {
     return (int64_t)((double)usual_us * u->slowness *
                      place_remote_factor(g, u));
@@ -68,13 +69,13 @@
 place_expected_us(const struct run_job *job, const struct rec_task_group *g,
                   const struct broker_upstream *u)
 {
-    return expected_there_us(order_expected_us(job, g), g, u);
+    return scaled_run_us(order_expected_us(job, g), g, u);
 }
 
 /* Tasks of the same group of the job that are there already. */
 static uint32_t
-same_group(const struct run_job *job, const struct run_task *t,
-           const struct broker_upstream *u)
+count_group_tasks(const struct run_job *job, const struct run_task *t,
+                  const struct broker_upstream *u)
 {
     uint32_t n = 0;
 
@@ -89,8 +90,8 @@
 }
 
 static bool
-takes(struct broker *b, const struct run_job *job, const struct run_task *t,
-      const struct broker_upstream *u)
+can_accept(struct broker *b, const struct run_job *job,
+           const struct run_task *t, const struct broker_upstream *u)
 {
     const struct rec_task_group *g = &job->groups[t->group];
 
@@ -99,20 +100,21 @@
     /* A stranger that is being stopped takes room that nobody counts here. */
     return u->state == HOLD_OPEN && !leaving && !u->gone && !u->unknown_runs &&
            u->full_until_us <= b->now.mono_us && u->n_tasks < u->slots &&
-           resources_fit(need_of(g), room_of(u)) && suits(g, u) &&
-           broker_health_allows(b, u) &&
-           (g->spread == 0 || same_group(job, t, u) < g->spread) &&
+           resources_fit(required_resources(g), free_resources(u)) &&
+           meets_requirement(g, u) && broker_health_allows(b, u) &&
+           (g->spread == 0 || count_group_tasks(job, t, u) < g->spread) &&
            renew_allows_start(b, job, u);
 }
 
 static bool
-better(int64_t us, uint32_t left, int64_t best_us, uint32_t best_left)
+is_better(int64_t us, uint32_t left_milli, int64_t best_us,
+          uint32_t best_left_milli)
 {
-    if ((double)us < (double)best_us * (1.0 - EQUAL_SHARE)) {
+    if ((double)us < (double)best_us * (1.0 - RUN_TIME_TOLERANCE)) {
         return true;
     }
-    return (double)us <= (double)best_us * (1.0 + EQUAL_SHARE) &&
-           left < best_left;
+    return (double)us <= (double)best_us * (1.0 + RUN_TIME_TOLERANCE) &&
+           left_milli < best_left_milli;
 }
 
 /* Where a start of the task that was not answered may still be carried out.
@@ -120,7 +122,7 @@
  * does so once it is taken under a higher fence.  Elsewhere the task could run
  * beside it meanwhile.  One that is silent or fails is not waited for. */
 static struct broker_upstream *
-lost_at(struct broker *b, const struct run_task *t)
+pending_lost_start(struct broker *b, const struct run_task *t)
 {
     struct broker_upstream *u =
         table_get(&b->upstreams, t->lost_start_upstream);
@@ -140,7 +142,7 @@
 bool
 place_awaits_lost_start(struct broker *b, const struct run_task *t)
 {
-    return lost_at(b, t) != NULL;
+    return pending_lost_start(b, t) != NULL;
 }
 
 struct broker_upstream *
@@ -149,33 +151,36 @@
 {
     const struct rec_task_group *g = &job->groups[t->group];
     struct broker_upstream *best = NULL;
-    struct broker_upstream *u = lost_at(b, t);
+    struct broker_upstream *u = pending_lost_start(b, t);
     int64_t usual_us = order_expected_us(job, g);
     int64_t best_us = INT64_MAX;
-    uint32_t best_left = UINT32_MAX;
+    uint32_t best_left_milli = UINT32_MAX;
     struct handle h;
     uint32_t at = 0;
 
     if (u != NULL) {
-        return takes(b, job, t, u) ? u : NULL;
+        return can_accept(b, job, t, u) ? u : NULL;
     }
     while ((u = table_next(&b->upstreams, &at, &h)) != NULL) {
         int64_t us;
-        uint32_t left;
+        uint32_t left_milli;
 
         if (u->service != job->service ||
-            (u->slowness > TOO_SLOW && u->n_tasks > 0) ||
-            !takes(b, job, t, u) || name_equal(t->avoid_upstream, u->name)) {
+            (u->slowness > USABLE_SLOWNESS_MAX && u->n_tasks > 0) ||
+            !can_accept(b, job, t, u) ||
+            name_equal(t->avoid_upstream, u->name)) {
             continue;
         }
-        us = expected_there_us(usual_us, g, u);
-        left = b->opts.disabled[BROKER_FEATURE_BEST_FIT]
-                   ? 0
-                   : room_of(u).cpu_milli - (uint32_t)g->cpu_milli;
-        if (best == NULL || better(us, left, best_us, best_left)) {
+        us = scaled_run_us(usual_us, g, u);
+        left_milli =
+            b->opts.disabled[BROKER_FEATURE_BEST_FIT]
+                ? 0
+                : free_resources(u).cpu_milli - (uint32_t)g->cpu_milli;
+        if (best == NULL ||
+            is_better(us, left_milli, best_us, best_left_milli)) {
             best = u;
             best_us = us;
-            best_left = left;
+            best_left_milli = left_milli;
         }
     }
     return best;
@@ -190,8 +195,9 @@
     uint32_t at = 0;
 
     while ((u = table_next(&b->upstreams, &at, &h)) != NULL) {
-        if (u->service == s && u->state != HOLD_NONE && suits(g, u) &&
-            resources_fit(need_of(g), u->capacity)) {
+        if (u->service == s && u->state != HOLD_NONE &&
+            meets_requirement(g, u) &&
+            resources_fit(required_resources(g), u->capacity)) {
             return true;
         }
     }
--- a/src/broker_run.c
+++ b/src/broker_run.c
@@ -11,7 +11,7 @@
 #include "broker_state.h"
 
 /* A waiting job is looked at so often to see whether it is hopeless by now. */
-#define WAITING_LOOK_US (20 * USEC_PER_MSEC)
+#define QUEUE_REVIEW_US (20 * USEC_PER_MSEC)
 
 struct broker_service *
 run_get_service(struct broker *b, struct name name)
@@ -52,15 +52,15 @@
 /* The life of a job that goes on, or, with @told, one that has ended and of
  * which something is still at an upstream. */
 static struct run_job *
-find_life(struct broker *b, uint64_t id, bool told,
-          const struct run_job *except)
+find_submission(struct broker *b, uint64_t id, bool closed,
+                const struct run_job *except)
 {
     struct run_job *job;
     struct handle h;
     uint32_t at = 0;
 
     while ((job = table_next(&b->run_jobs, &at, &h)) != NULL) {
-        if (job->id == id && job->closed == told && job != except) {
+        if (job->id == id && job->closed == closed && job != except) {
             return job;
         }
     }
@@ -70,8 +70,9 @@
 /* Telling the taker */
 
 static void
-tell(struct broker *b, struct name taker, uint64_t number,
-     enum job_outcome outcome, enum broker_reason reason, int64_t retry_us)
+send_job_end(struct broker *b, struct name taker, uint64_t number,
+             enum job_outcome outcome, enum broker_reason reason,
+             int64_t retry_us)
 {
     struct msg m = {.kind = MSG_JOB_END};
 
@@ -84,19 +85,19 @@
 
 /* The life that waits for all earlier ones, if this was the last of them. */
 static void
-wake_successor(struct broker *b, const struct run_job *ended)
+unblock_submission(struct broker *b, const struct run_job *last)
 {
-    struct run_job *job = find_life(b, ended->id, false, NULL);
+    struct run_job *job = find_submission(b, last->id, false, NULL);
 
     if (job != NULL && job->blocked_by_earlier &&
-        find_life(b, ended->id, true, ended) == NULL) {
+        find_submission(b, last->id, true, last) == NULL) {
         job->blocked_by_earlier = false;
         order_insert(job);
     }
 }
 
 static void
-note_settled(struct broker *b, const struct run_job *job)
+log_resolved(struct broker *b, const struct run_job *job)
 {
     int64_t after_us = b->now.mono_us - job->closed_us;
 
@@ -110,14 +111,14 @@
 
 /* Removed once nothing of it can be at an upstream any more. */
 static void
-remove_settled(struct broker *b, struct run_job *job)
+remove_if_resolved(struct broker *b, struct run_job *job)
 {
     if (!job->closed || job->n_placed > 0) {
         return;
     }
     order_remove(job);
-    note_settled(b, job);
-    wake_successor(b, job);
+    log_resolved(b, job);
+    unblock_submission(b, job);
     blob_unref(job->spec);
     free(job->groups);
     free(job->tasks);
@@ -127,7 +128,7 @@
 }
 
 static void
-stop_placed(struct broker *b, struct run_job *job)
+stop_placed_tasks(struct broker *b, struct run_job *job)
 {
     for (uint32_t i = 0; i < job->n_tasks; i++) {
         struct run_task *t = &job->tasks[i];
@@ -141,31 +142,31 @@
 /* The outcome is decided: its taker hears it at once, what still runs is
  * stopped and settled. */
 static void
-end_job(struct broker *b, struct run_job *job, enum job_outcome outcome,
-        enum broker_reason reason, int64_t retry_us)
+close_job(struct broker *b, struct run_job *job, enum job_outcome outcome,
+          enum broker_reason reason, int64_t retry_us)
 {
     if (job->closed) {
         return;
     }
     renew_end_interest(b, job);
     order_remove(job);
-    tell(b, job->taker, job->number, outcome, reason, retry_us);
+    send_job_end(b, job->taker, job->number, outcome, reason, retry_us);
     broker_log(
         b, LOG_DEBUG, BROKER_ENDED, job->id, -1, job->taker,
         "%s, %s; %u of %u tasks left, %u at upstreams, after %lld ms",
         job_outcome_text(outcome), broker_reason_text(reason),
         job->n_unfinished, job->n_tasks, job->n_placed,
         (long long)((b->now.mono_us - job->arrived_us) / USEC_PER_MSEC));
-    stop_placed(b, job);
-    remove_settled(b, job);
+    stop_placed_tasks(b, job);
+    remove_if_resolved(b, job);
 }
 
 void
 run_abandon_job(struct broker *b, struct run_job *job,
                 enum broker_reason reason)
 {
-    end_job(b, job, job->started ? JOB_LOST_OUTCOME : JOB_RETURNED_OUTCOME,
-            reason, 0);
+    close_job(b, job, job->started ? JOB_LOST_OUTCOME : JOB_RETURNED_OUTCOME,
+              reason, 0);
 }
 
 static void
@@ -179,8 +180,8 @@
     broker_log(b, LOG_INFO, reason, job->id, -1, job->taker,
                "%u of %u tasks left, %u at upstreams", job->n_unfinished,
                job->n_tasks, job->n_placed);
-    stop_placed(b, job);
-    remove_settled(b, job);
+    stop_placed_tasks(b, job);
+    remove_if_resolved(b, job);
 }
 
 /* Taking a job */
@@ -200,7 +201,7 @@
 }
 
 static void
-unblock(struct run_job *job)
+unblock_groups(struct run_job *job)
 {
     for (uint32_t g = 0; g < job->n_groups; g++) {
         if (job->groups[g].after != 0 && !group_may_start(job, g)) {
@@ -217,7 +218,7 @@
 }
 
 static bool
-make_tasks(struct run_job *job)
+create_tasks(struct run_job *job)
 {
     uint64_t total = 0;
     uint32_t n = 0;
@@ -252,7 +253,7 @@
 }
 
 static bool
-fits_here(struct broker *b, const struct run_job *job)
+fits_upstreams(struct broker *b, const struct run_job *job)
 {
     for (size_t i = 0; i < job->n_groups; i++) {
         if (!place_fits_any(b, job->service, &job->groups[i])) {
@@ -263,8 +264,8 @@
 }
 
 static enum broker_reason
-judge(struct broker *b, struct run_job *job, int64_t *retry_us,
-      enum job_outcome *outcome)
+check_admission(struct broker *b, struct run_job *job, int64_t *retry_us,
+                enum job_outcome *outcome)
 {
     enum broker_reason reason;
 
@@ -273,7 +274,7 @@
     if (b->stopping && !shutdown_accepts_job(b, job)) {
         return BROKER_STOPPING;
     }
-    if (!fits_here(b, job)) {
+    if (!fits_upstreams(b, job)) {
         return BROKER_NEVER_FITS;
     }
     reason = order_admit(b, job, retry_us);
@@ -305,15 +306,15 @@
  * or what it was told was lost.  The one that runs serves both; one that is
  * being stopped has to be over before the next begins. */
 static bool
-join_earlier(struct broker *b, struct name from, const struct rec_job_offer *o,
-             bool *waits)
+merge_resubmission(struct broker *b, struct name from,
+                   const struct rec_job_offer *o, bool *blocked)
 {
-    struct run_job *earlier = find_life(b, o->id, false, NULL);
+    struct run_job *earlier = find_submission(b, o->id, false, NULL);
 
     if (earlier == NULL) {
-        earlier = find_life(b, o->id, true, NULL);
+        earlier = find_submission(b, o->id, true, NULL);
     }
-    *waits = false;
+    *blocked = false;
     if (earlier == NULL) {
         return false;
     }
@@ -324,13 +325,13 @@
                    earlier->n_placed,
                    (long long)((b->now.mono_us - earlier->closed_us) /
                                USEC_PER_MSEC));
-        *waits = true;
+        *blocked = true;
         return false;
     }
     broker_log(b, LOG_INFO, BROKER_HANDED_IN_AGAIN, o->id, -1, from,
                "was %s's", earlier->taker.s);
-    tell(b, earlier->taker, earlier->number, JOB_LOST_OUTCOME,
-         BROKER_HANDED_IN_AGAIN, 0);
+    send_job_end(b, earlier->taker, earlier->number, JOB_LOST_OUTCOME,
+                 BROKER_HANDED_IN_AGAIN, 0);
     earlier->taker = from;
     earlier->number = o->number;
     earlier->accepted_us = b->now.mono_us;
@@ -373,22 +374,22 @@
     enum job_outcome outcome = JOB_REFUSED_OUTCOME;
     int64_t retry_us = 0;
     struct run_job *job;
-    bool waits;
+    bool blocked;
 
     if (o->n_groups == 0 || o->n_groups > TASK_GROUPS_MAX ||
-        join_earlier(b, from, o, &waits)) {
+        merge_resubmission(b, from, o, &blocked)) {
         return;
     }
     job = new_job(b, from, o);
-    if (make_tasks(job)) {
+    if (create_tasks(job)) {
         order_set_times(b, job, o);
-        unblock(job);
-        reason = judge(b, job, &retry_us, &outcome);
+        unblock_groups(job);
+        reason = check_admission(b, job, &retry_us, &outcome);
     }
     if (reason != BROKER_NONE) {
         b->counters.offers_refused++;
         log_refusal(b, job, reason, retry_us);
-        end_job(b, job, outcome, reason, retry_us);
+        close_job(b, job, outcome, reason, retry_us);
         return;
     }
     b->counters.offers_taken++;
@@ -398,14 +399,14 @@
         job->n_tasks,
         (long long)((job->latest_start_us - b->now.mono_us) / USEC_PER_MSEC),
         job->service->n_queued);
-    job->blocked_by_earlier = waits;
-    if (!waits) {
+    job->blocked_by_earlier = blocked;
+    if (!blocked) {
         order_insert(job);
     }
 }
 
 static struct run_job *
-find_taken(struct broker *b, struct name taker, uint64_t number)
+find_offered(struct broker *b, struct name taker, uint64_t number)
 {
     struct run_job *job;
     struct handle h;
@@ -422,7 +423,7 @@
 void
 run_on_drop(struct broker *b, struct name from, uint64_t number)
 {
-    struct run_job *job = find_taken(b, from, number);
+    struct run_job *job = find_offered(b, from, number);
 
     if (job != NULL) {
         drop_job(b, job, BROKER_CALLER_LEFT);
@@ -451,7 +452,7 @@
     uint32_t at = 0;
 
     while ((job = table_next(&b->run_jobs, &at, &h)) != NULL) {
-        end_job(b, job, JOB_LOST_OUTCOME, BROKER_PAUSED, 0);
+        close_job(b, job, JOB_LOST_OUTCOME, BROKER_PAUSED, 0);
     }
 }
 
@@ -467,7 +468,7 @@
             !job->started || b->opts.breaks[BROKER_BREAK_RETURN_STARTED];
 
         if (unstarted && !job->closed) {
-            end_job(b, job, JOB_RETURNED_OUTCOME, BROKER_STOPPING, 0);
+            close_job(b, job, JOB_RETURNED_OUTCOME, BROKER_STOPPING, 0);
         }
     }
 }
@@ -503,7 +504,7 @@
 }
 
 static void
-taken_off(struct broker *b, struct run_job *job, struct run_task *t)
+remove_from_upstream(struct broker *b, struct run_job *job, struct run_task *t)
 {
     struct broker_upstream *u = table_get(&b->upstreams, t->upstream);
 
@@ -518,11 +519,11 @@
 void
 run_mark_ready(struct broker *b, struct run_job *job, struct run_task *t)
 {
-    taken_off(b, job, t);
+    remove_from_upstream(b, job, t);
     t->state = RUN_READY;
     job->n_ready++;
     if (job->closed) {
-        remove_settled(b, job);
+        remove_if_resolved(b, job);
     }
     else if (!job->queued) {
         order_insert(job);
@@ -532,18 +533,18 @@
 void
 run_mark_done(struct broker *b, struct run_job *job, struct run_task *t)
 {
-    taken_off(b, job, t);
+    remove_from_upstream(b, job, t);
     t->state = RUN_ENDED;
     job->n_unfinished--;
     b->counters.tasks_done++;
     if (job->closed) {
-        remove_settled(b, job);
+        remove_if_resolved(b, job);
     }
     else if (job->n_unfinished == 0) {
-        end_job(b, job, JOB_COMPLETED_OUTCOME, BROKER_ENDED, 0);
+        close_job(b, job, JOB_COMPLETED_OUTCOME, BROKER_ENDED, 0);
     }
     else {
-        unblock(job);
+        unblock_groups(job);
         if (job->n_ready > 0 && !job->queued) {
             order_insert(job);
         }
@@ -571,7 +572,7 @@
     t->failures++;
     run_mark_ready(b, job, t);
     if (t->failures >= job->attempts) {
-        end_job(b, job, JOB_FAILED_OUTCOME, BROKER_TASK_FAILED, 0);
+        close_job(b, job, JOB_FAILED_OUTCOME, BROKER_TASK_FAILED, 0);
     }
 }
 
@@ -612,7 +613,7 @@
  * behind others without room would keep its caller waiting for an answer that
  * is known to be a refusal. */
 static void
-review_waiting(struct broker *b, struct broker_service *s)
+review_queue(struct broker *b, struct broker_service *s)
 {
     struct run_job *job = TAILQ_FIRST(&s->queue);
 
@@ -621,7 +622,7 @@
         int64_t retry_us;
 
         if (order_starts_too_late(b, job, &retry_us)) {
-            end_job(b, job, JOB_REFUSED_OUTCOME, BROKER_TOO_LATE, retry_us);
+            close_job(b, job, JOB_REFUSED_OUTCOME, BROKER_TOO_LATE, retry_us);
         }
         else {
             order_demote_if_late(b, job);
@@ -632,7 +633,7 @@
 
 /* One job of the queue; false where no late job behind it has a chance. */
 static bool
-serve_queued(struct broker *b, struct run_job *job)
+serve_job(struct broker *b, struct run_job *job)
 {
     if (!renew_job_can_start(b, job)) {
         return true;
@@ -652,7 +653,7 @@
 }
 
 static void
-place_all(struct broker *b, struct broker_service *s)
+serve_queue(struct broker *b, struct broker_service *s)
 {
     struct run_job *job = TAILQ_FIRST(&s->queue);
 
@@ -660,7 +661,7 @@
     while (job != NULL) {
         struct run_job *next = TAILQ_NEXT(job, link);
 
-        if (!serve_queued(b, job)) {
+        if (!serve_job(b, job)) {
             break;
         }
         job = next;
@@ -672,9 +673,9 @@
 {
     for (struct broker_service *s = b->services; s != NULL; s = s->next) {
         if (s->placement_due || b->now.mono_us >= s->next_placement_us) {
-            s->next_placement_us = b->now.mono_us + WAITING_LOOK_US;
-            review_waiting(b, s);
-            place_all(b, s);
+            s->next_placement_us = b->now.mono_us + QUEUE_REVIEW_US;
+            review_queue(b, s);
+            serve_queue(b, s);
         }
     }
 }
--- a/src/broker_share.c
+++ b/src/broker_share.c
@@ -13,22 +13,22 @@
 #include "broker_state.h"
 
 /* Time over which demand is averaged: several runs of the longest tasks. */
-#define DEMAND_US (2 * USEC_PER_SEC)
+#define DEMAND_WINDOW_US (2 * USEC_PER_SEC)
 /* A queue may save up its share for so long: the longest jobs come about that
  * far apart. */
-#define CREDIT_US (500 * USEC_PER_MSEC)
+#define CREDIT_WINDOW_US (500 * USEC_PER_MSEC)
 
 /* Of its spare time a job beyond its queue's share may wait that much: with
  * more it overtakes those that are entitled to the room. */
-static const double BEYOND_SHARE = 0.1;
+static const double WAIT_FACTOR_MIN = 0.1;
 /* It is so strict from that excess of demand on, and less the smaller the
  * excess is: a cluster of long jobs is no overload. */
-static const double OVER_FULL = 0.4;
+static const double STRICT_EXCESS = 0.4;
 
 /* Compared to what each asks for, a queue of the first priority gets twice as
  * much room as one of the third, and each at least some. */
 static double
-weight(const struct queue_stats *q)
+queue_weight(const struct queue_stats *q)
 {
     return 1.0 + 3.0 / (1.0 + (double)q->priority);
 }
@@ -47,33 +47,33 @@
 /* What all get together when each gets its weight times @level of what it asks
  * for, and no more than that. */
 static double
-granted(const struct broker_service *s, double level)
+total_granted(const struct broker_service *s, double level)
 {
     double sum = 0;
 
     for (size_t i = 0; i < s->n_stats; i++) {
         const struct queue_stats *q = &s->stats[i];
 
-        sum += q->demand * fmin(1.0, weight(q) * level);
+        sum += q->demand * fmin(1.0, queue_weight(q) * level);
     }
     return sum;
 }
 
 /* The level at which all room is given out, by halving. */
 static double
-level_for(const struct broker_service *s, double able)
+find_level(const struct broker_service *s, double capacity)
 {
-    enum { HALVINGS = 20 };
+    enum { ITERATIONS = 20 };
     double low = 0.0;
     double high = 1.0;
 
-    if (granted(s, high) <= able) {
+    if (total_granted(s, high) <= capacity) {
         return high;
     }
-    for (int i = 0; i < HALVINGS; i++) {
+    for (int i = 0; i < ITERATIONS; i++) {
         double middle = (low + high) / 2.0;
 
-        if (granted(s, middle) <= able) {
+        if (total_granted(s, middle) <= capacity) {
             low = middle;
         }
         else {
@@ -84,47 +84,49 @@
 }
 
 void
-share_update(struct broker *b, struct broker_service *s, double able)
+share_update(struct broker *b, struct broker_service *s, double capacity)
 {
-    double passed = (double)(b->now.mono_us - s->shares_updated_us);
-    double level = level_for(s, able);
+    double elapsed_us = (double)(b->now.mono_us - s->shares_updated_us);
+    double level = find_level(s, capacity);
 
     for (size_t i = 0; i < s->n_stats; i++) {
         struct queue_stats *q = &s->stats[i];
-        double share = q->demand * fmin(1.0, weight(q) * level);
+        double share = q->demand * fmin(1.0, queue_weight(q) * level);
 
-        q->credit = fmin(q->credit + share * passed, share * CREDIT_US);
-        q->demand *= exp(-passed / (double)DEMAND_US);
+        q->credit =
+            fmin(q->credit + share * elapsed_us, share * CREDIT_WINDOW_US);
+        q->demand *= exp(-elapsed_us / (double)DEMAND_WINDOW_US);
     }
-    s->late_throughput *= exp(-passed / (double)DEMAND_US);
+    s->late_throughput *= exp(-elapsed_us / (double)DEMAND_WINDOW_US);
     s->shares_updated_us = b->now.mono_us;
 }
 
 void
 share_add_late_start(struct broker_service *s, double work)
 {
-    s->late_throughput += work / (double)DEMAND_US;
+    s->late_throughput += work / (double)DEMAND_WINDOW_US;
 }
 
 void
 share_add_demand(struct broker *b, struct broker_service *s,
-                 struct queue_stats *q, double work, double able)
+                 struct queue_stats *q, double work, double capacity)
 {
-    share_update(b, s, able);
-    q->demand += work / (double)DEMAND_US;
+    share_update(b, s, capacity);
+    q->demand += work / (double)DEMAND_WINDOW_US;
 }
 
 double
 share_wait_factor(const struct broker_service *s, const struct queue_stats *q,
-                  double able)
+                  double capacity)
 {
-    double over = able > 0 ? share_total_demand(s) / able - 1.0 : OVER_FULL;
-    double left = 1.0 - over / OVER_FULL;
+    double excess =
+        capacity > 0 ? share_total_demand(s) / capacity - 1.0 : STRICT_EXCESS;
+    double factor = 1.0 - excess / STRICT_EXCESS;
 
-    if (q->credit > 0 || left > 1.0) {
+    if (q->credit > 0 || factor > 1.0) {
         return 1.0;
     }
-    return left > BEYOND_SHARE ? left : BEYOND_SHARE;
+    return factor > WAIT_FACTOR_MIN ? factor : WAIT_FACTOR_MIN;
 }
 
 void
