--- a/src/broker_config.c
+++ b/src/broker_config.c
@@ -124,7 +124,7 @@
     struct broker_peer *p = peers_find(b, b->fetch.source);
 
     broker_log(b, LOG_WARNING, BROKER_CONFIG_LATE, 0, -1, b->fetch.source,
-               "nothing came in %lld ms",
+               "no answer in %lld ms",
                (long long)(b->fetch.timeout_us / USEC_PER_MSEC));
     if (p != NULL) {
         p->fetch_timed_out = true;
@@ -252,7 +252,7 @@
     b->counters.configs_applied++;
     broker_log(b, LOG_NOTICE, BROKER_CONFIG_APPLIED, 0, -1, from,
                "version %llu, rank %llu, %zu queues, %zu bytes in %zu%s, "
-               "%lld ms after it was heard of",
+               "%lld ms after its first report",
                (unsigned long long)r->version,
                (unsigned long long)queues->rank, queues->n_queues, text->size,
                reply_bytes(r), r->from_version != 0 ? " of changes" : "",
--- a/src/broker_run.c
+++ b/src/broker_run.c
@@ -293,7 +293,7 @@
 
     if (retry_us > 0) {
         (void)snprintf(times, sizeof(times),
-                       ", must start in %lld ms, room %lld ms after that",
+                       ", must start in %lld ms, capacity %lld ms after that",
                        (long long)(must_us / USEC_PER_MSEC),
                        (long long)(retry_us / USEC_PER_MSEC));
     }
@@ -320,16 +320,17 @@
     }
     b->counters.offers_again++;
     if (earlier->closed) {
-        broker_log(b, LOG_INFO, BROKER_HANDED_IN_AGAIN, o->id, -1, from,
-                   "waits for %u runs of the earlier one, ended %lld ms ago",
-                   earlier->n_placed,
-                   (long long)((b->now.mono_us - earlier->closed_us) /
-                               USEC_PER_MSEC));
+        broker_log(
+            b, LOG_INFO, BROKER_HANDED_IN_AGAIN, o->id, -1, from,
+            "waits for %u runs of the earlier submission, ended %lld ms ago",
+            earlier->n_placed,
+            (long long)((b->now.mono_us - earlier->closed_us) /
+                        USEC_PER_MSEC));
         *blocked = true;
         return false;
     }
     broker_log(b, LOG_INFO, BROKER_HANDED_IN_AGAIN, o->id, -1, from,
-               "was %s's", earlier->taker.s);
+               "earlier taker %s", earlier->taker.s);
     send_job_end(b, earlier->taker, earlier->number, JOB_LOST_OUTCOME,
                  BROKER_HANDED_IN_AGAIN, 0);
     earlier->taker = from;
