--- a/src/broker.c
+++ b/src/broker.c
@@ -9,13 +9,13 @@
 #include "broker_state.h"
 
 enum {
-    TICK_MAX_US = 500 * 1000, /* between ticks at most */
-    /* A step so long after the last one means that the process stood still:
-     * ticks come ten times as often as a lease is long. */
+    TICK_MAX_US = 500 * 1000, /* longest time between two ticks */
+    /* A step this many leases after the previous one means that the process
+     * was paused: normally a lease takes at least ten ticks. */
     PAUSE_LEASES = 1,
 };
-/* Between decisions who holds what: each goes over all upstreams, and when a
- * region starts something changes with every message. */
+/* Shortest time between two hold_reassign(): each visits all upstreams, and
+ * when a region starts almost every message makes one due. */
 #define REVIEW_INTERVAL_US (10 * USEC_PER_MSEC)
 
 struct broker_options
@@ -31,7 +31,7 @@
         .discovery_min_us = 100 * USEC_PER_MSEC,
         .startup_wait_us = 750 * USEC_PER_MSEC,
         .load_interval_us = 50 * USEC_PER_MSEC,
-        .load_reports_per_s = 400, /* twenty others every load_us */
+        .load_reports_per_s = 400, /* 20 brokers, each every 50 ms */
         .stop_timeout_us = 5400 * USEC_PER_MSEC,
         .stop_accept_us = 2600 * USEC_PER_MSEC,
         .upstreams_per_holder = 32,
@@ -207,7 +207,7 @@
         caller_on_job_end(b, from, &m->u.job_end);
         break;
     default:
-        break; /* control's own, or of a later version */
+        break; /* internal to control, or of a later version */
     }
 }
 
@@ -223,11 +223,10 @@
     b->n_local_msgs = 0;
 }
 
-/* A process that stood still (a paused machine) may wake as what it no longer
- * is.  Its steady clock may have stood still too, so the time compared here
- * must be one that goes on (see clock.h).  By then other brokers have taken
- * its upstreams over and its callers' jobs may run elsewhere: everything that
- * rested on a lease is given up before anything is sent. */
+/* After a pause of the process or its machine, other brokers may have taken
+ * over its upstreams, and its callers' jobs may run elsewhere.  So everything
+ * that relies on a lease is given up before any message is sent.  The clock
+ * must be one that does not stop with the machine, see clock.h. */
 static void
 check_pause(struct broker *b)
 {
@@ -292,8 +291,9 @@
     }
 }
 
-/* Done when no caller waits and nothing is held; callers that the platform
- * still sends are served until quit_us. */
+/* The stop is complete when no jobs and no held upstreams remain, but not
+ * before stop_accept_us, since the platform may still route callers here, and
+ * at stop_timeout_us at the latest. */
 static void
 report_stopped(struct broker *b)
 {
--- a/src/broker.h
+++ b/src/broker.h
@@ -1,15 +1,16 @@
 /**
  * DOC: broker - the reducer of a broker
  *
- * A broker takes jobs from callers and has them run on upstreams that work
- * under leases.  Each upstream is held by one broker of its availability zone;
- * a job is run as a whole by one broker, its runner, which need not be the one
- * that its caller reached.  broker_step() takes one event and appends effects;
- * it reads no clock, does no I/O and draws no randomness but from its seed.
+ * A broker accepts jobs from callers and has them run on upstreams under
+ * leases.  Each upstream is held by one broker of its availability zone.  All
+ * tasks of a job are run by one broker, its runner, which may be another one
+ * than the broker that accepted the job from its caller, its taker.
+ * broker_step() takes one event and appends effects; it reads no clock, does
+ * no I/O and takes its random numbers from the seed only.
  *
- * Jobs here are best effort: nothing of them is stored, and one whose answer
- * is lost may run again from the start when its caller hands it in anew.  What
- * must not happen is that two runs of one task overlap.
+ * Jobs are best effort: they are not stored, and a job whose answer is lost
+ * may run again from the start when its caller submits it again.  Two runs of
+ * one task must never overlap.
  */
 #ifndef BM_BROKER_H
 #define BM_BROKER_H
@@ -20,43 +21,43 @@
 
 struct broker;
 
-/** broker_read_config - reads the text of a configuration: NULL with
- * *@fault where it can't be in force */
+/** broker_read_config - parses the text of a configuration; returns NULL and
+ * sets *@fault if it is not valid */
 typedef struct queueconf *broker_read_config(const char *text, size_t size,
                                              enum queueconf_fault *fault);
 
-/* Wrong decisions that prove the fault matrix of leases:
- * BROKER_BREAK(NAME, what is decided).  Only tests set one. */
+/* Deliberate faults: the fault matrix of leases must detect each of them.
+ * BROKER_BREAK(NAME, description).  Only tests enable one. */
 /* clang-format off */
 #define BROKER_BREAK_LIST(BROKER_BREAK)                                       \
-    BROKER_BREAK(PLACE_LOST, "place a lost start again at once")              \
-    BROKER_BREAK(KEEP_STRANGERS, "extend what nobody owns")                   \
-    BROKER_BREAK(SAME_FENCE, "take an upstream with any holder's fence")      \
-    BROKER_BREAK(LAPSE_EARLY, "believe a lease over at half of its time")     \
-    BROKER_BREAK(LOST_NOT_RUN, "tell jobs of a lost runner as not run")       \
-    BROKER_BREAK(RETURN_STARTED, "hand on what has started at a stop")        \
-    BROKER_BREAK(START_LEAVING, "start at upstreams that leave")              \
-    BROKER_BREAK(OPEN_UNSEEN, "use an upstream before a look at it")          \
-    /* Shows only where callers come back at any broker. */                   \
-    BROKER_BREAK(UNCONFIRMED, "extend leases for takers that say nothing")
+    BROKER_BREAK(PLACE_LOST, "restart a task at once after a lost start")     \
+    BROKER_BREAK(KEEP_STRANGERS, "do not stop unknown runs")                  \
+    BROKER_BREAK(SAME_FENCE, "take every upstream with the same fence")       \
+    BROKER_BREAK(LAPSE_EARLY, "treat leases as expired at half their time")   \
+    BROKER_BREAK(LOST_NOT_RUN, "report jobs of a lost runner as not run")     \
+    BROKER_BREAK(RETURN_STARTED, "return started jobs at a stop")             \
+    BROKER_BREAK(START_LEAVING, "start tasks on leaving upstreams")           \
+    BROKER_BREAK(OPEN_UNSEEN, "use an upstream before its first poll")        \
+    /* Detected only where callers may resubmit at any broker. */             \
+    BROKER_BREAK(UNCONFIRMED, "extend leases without renewals")
 /* clang-format on */
 
-/* Parts of what a broker decides that can be left out, to see what each is
- * worth: BROKER_FEATURE(NAME, what it does).  No settings reach them. */
+/* Features of the scheduling that can be disabled to measure the effect of
+ * each: BROKER_FEATURE(NAME, description).  No setting disables one. */
 /* clang-format off */
-#define BROKER_FEATURE_LIST(BROKER_FEATURE)                                         \
-    BROKER_FEATURE(LATEST_START, "order by the latest start that is in time")    \
-    BROKER_FEATURE(PRIORITY, "urgent queues go a little before")                 \
-    BROKER_FEATURE(SHARES, "room is shared between queues in overload")          \
-    BROKER_FEATURE(SPARE, "late jobs leave some room to others")                 \
-    BROKER_FEATURE(WIDE, "wide late jobs begin in part")                         \
-    BROKER_FEATURE(STALLED, "standing runs are stopped and placed anew")         \
-    BROKER_FEATURE(SLOW, "upstreams are judged by how slow they are")            \
-    BROKER_FEATURE(FAILING, "failing upstreams are put out for a while")         \
-    BROKER_FEATURE(BEST_FIT, "the fullest of equal upstreams is chosen")         \
-    BROKER_FEATURE(OTHER_ZONES, "jobs are offered to other zones")               \
-    BROKER_FEATURE(LEARNED, "run times are learned")                             \
-    BROKER_FEATURE(LOST_STARTS, "starts without an answer are placed anew")
+#define BROKER_FEATURE_LIST(BROKER_FEATURE)                                   \
+    BROKER_FEATURE(LATEST_START, "jobs are ordered by their latest start")    \
+    BROKER_FEATURE(PRIORITY, "urgent queues go slightly ahead")               \
+    BROKER_FEATURE(SHARES, "queues share the capacity in overload")           \
+    BROKER_FEATURE(SPARE, "late jobs leave some capacity free")               \
+    BROKER_FEATURE(WIDE, "wide late jobs start with some of their tasks")     \
+    BROKER_FEATURE(STALLED, "stalled runs are stopped and restarted")         \
+    BROKER_FEATURE(SLOW, "placement considers the speed of upstreams")        \
+    BROKER_FEATURE(FAILING, "failing upstreams are quarantined")              \
+    BROKER_FEATURE(BEST_FIT, "the fullest of equal upstreams is chosen")      \
+    BROKER_FEATURE(OTHER_ZONES, "jobs are offered to other zones")            \
+    BROKER_FEATURE(LEARNED, "run times are estimated from past runs")         \
+    BROKER_FEATURE(LOST_STARTS, "unanswered starts are stopped and restarted")
 /* clang-format on */
 
 enum broker_feature {
@@ -79,34 +80,37 @@
  * @self: name of this instance
  * @zone: its availability zone
  * @address: where other processes connect to it
- * @incarnation: rises with every start of any broker; wall time in us.  The
- *               broker that started first holds upstreams first, so that one
- *               that restarts takes none away from those that went on.
- * @registries: to connect to at first
- * @n_registries: of them
- * @seed: for jitter
- * @read_config: reads what control sends of a published text
+ * @incarnation: start time of this process, wall time in us.  Brokers that
+ *               started first hold the upstreams of a zone, so that a
+ *               restarted broker takes none from the brokers that kept
+ *               running.
+ * @registries: to connect to at the start
+ * @n_registries: number of @registries
+ * @seed: of the random numbers
+ * @read_config: parses a published configuration
  * @lease_us: longest lease that upstreams grant
- * @resubmit_us: a caller hands a job in again so long after its outcome became
- *             unclear to it, not sooner
- * @poll_wait_us: an answer to a look without an end comes after this
- * @call_timeout_us: without an answer a call is given up
- * @discovery_us: after the start, until other brokers had time to show up, no
- *             upstream is taken
- * @discovery_min_us: from the first word of a registry, it need not be longer
- *                 where all brokers of the zone that were named are connected;
- *                 about as long as two attempts to dial are apart
- * @startup_wait_us: after the start, requests are kept for so long until there
- *                 is a configuration and somebody who runs jobs
- * @load_interval_us: between reports of the load to other brokers, at least
- * @load_reports_per_s: messages with such a report in a second, at most
- * @stop_timeout_us: a planned stop takes no longer
- * @stop_accept_us: after a planned stop began, callers' new jobs are still
- * taken for so long: that is how long the platform may go on sending them
- * @upstreams_per_holder: upstreams of a zone for each broker that holds any
- * @clock_drift: an upstream's clock may be slower by that share
- * @breaks: wrong decisions to make, for tests; all false
- * @disabled: parts that are left out, for measurements; all false
+ * @resubmit_us: shortest time from when an outcome became unknown to a caller
+ *               until the caller submits the job again
+ * @poll_wait_us: a poll without news is answered after this
+ * @call_timeout_us: longest wait for the answer to a call
+ * @discovery_us: no upstream is taken for this long after the start, so that
+ *                the other brokers can connect
+ * @discovery_min_us: the same, counted from the first list of brokers of a
+ *                    registry, if all listed brokers of the zone are
+ *                    connected; about the time between two attempts to
+ *                    connect
+ * @startup_wait_us: for this long after the start, requests wait for a
+ *                   configuration and a runner
+ * @load_interval_us: shortest time between load reports to the other brokers
+ * @load_reports_per_s: most messages with a load report in a second
+ * @stop_timeout_us: a planned stop ends after this at the latest
+ * @stop_accept_us: new jobs of callers are accepted for this long after a
+ *                  planned stop began, since the platform may still route
+ *                  callers here
+ * @upstreams_per_holder: a zone has one holder for each so many upstreams
+ * @clock_drift: an upstream's clock may be slower by this part, 0 to 1
+ * @breaks: deliberate faults, for tests; all false by default
+ * @disabled: disabled features, for measurements; all false by default
  */
 struct broker_options {
     struct name self;
@@ -134,44 +138,46 @@
     bool disabled[BROKER_FEATURES];
 };
 
-/** broker_options_default() - every field but names, addresses, incarnation
- * and read_config */
+/** broker_options_default() - sets every field except names, addresses,
+ * incarnation and read_config */
 struct broker_options broker_options_default(void);
 
-/** broker_new() - ends the process when memory is out */
+/** broker_new() - the result is freed with broker_free(); aborts when out of
+ * memory */
 struct broker *broker_new(const struct broker_options *o);
 
 /** broker_free() - NULL is allowed */
 void broker_free(struct broker *b);
 
-/** broker_step() - applies one event; effects are appended to @fx */
+/** broker_step() - handles one event; appends effects to @fx */
 void broker_step(struct broker *b, const struct broker_event *ev,
                  struct broker_effects *fx);
 
-/** broker_next_us() - monotonic time of the next timer; a TICK is due then */
+/** broker_next_us() - monotonic time at which the next TICK event is due */
 int64_t broker_next_us(const struct broker *b);
 
-/** broker_ready() - takes new callers: it has a configuration and knows a
- * broker that holds upstreams, and is not stopping */
+/** broker_ready() - whether it accepts new callers: it has a configuration,
+ * knows a broker that holds upstreams, and is not stopping */
 bool broker_ready(const struct broker *b);
 
-/** broker_startup_end_us() - monotonic time until which what a broker that has
- * just started lacks may be waited for */
+/** broker_startup_end_us() - monotonic time until which requests wait for a
+ * configuration and a runner, see broker_options.startup_wait_us */
 int64_t broker_startup_end_us(const struct broker *b);
 
-/** broker_queues() - the configuration in force, or NULL */
+/** broker_queues() - the configuration in force, or NULL; valid until the next
+ * step */
 const struct queueconf *broker_queues(const struct broker *b);
 
-/** broker_config_outdated() - whether a registry has told of a newer
- * configuration than the one in force: what that one does not know may be
- * there */
+/** broker_config_outdated() - whether a registry has reported a newer
+ * configuration than the one in force: a queue that is unknown here may be
+ * defined there */
 bool broker_config_outdated(const struct broker *b);
 
-/** broker_pending_jobs() - jobs of a queue that were taken here and of which
- * nothing is known to have started */
+/** broker_pending_jobs() - number of jobs of a queue that were accepted here
+ * and not answered yet */
 uint32_t broker_pending_jobs(const struct broker *b, struct name queue);
 
-/* Counters: BROKER_COUNTER(name, help).  All only rise. */
+/* Counters, never decremented: BROKER_COUNTER(name, help). */
 /* clang-format off */
 #define BROKER_COUNTER_LIST(BROKER_COUNTER)                                   \
     BROKER_COUNTER(jobs_submitted, "jobs handed in here")                     \
@@ -212,7 +218,7 @@
 #undef BROKER_COUNTER
 };
 
-/** broker_counters() - a copy of the counters */
+/** broker_counters() - a copy of all counters */
 struct broker_counters broker_counters(const struct broker *b);
 
 /* Gauges: BROKER_GAUGE(name, help). */
@@ -246,7 +252,8 @@
     BROKER_HISTOGRAM(run, "from a start to the end of a run that ended well")
 /* clang-format on */
 
-/** struct broker_histograms - @request by outcome of the job */
+/** struct broker_histograms - durations in us; @request: from a caller's
+ * request to its answer, by outcome of the job */
 struct broker_histograms {
     struct histogram request[JOB_OUTCOMES];
 #define BROKER_HISTOGRAM(name, help) struct histogram name;
@@ -254,10 +261,11 @@
 #undef BROKER_HISTOGRAM
 };
 
-/** broker_histograms() - holds until the next step */
+/** broker_histograms() - valid until broker_free(); each step may change the
+ * contents */
 const struct broker_histograms *broker_histograms(const struct broker *b);
 
-/** broker_gauges() - counted now */
+/** broker_gauges() - computed by each call */
 struct broker_gauges broker_gauges(const struct broker *b);
 
 #endif
--- a/src/broker_answer.c
+++ b/src/broker_answer.c
@@ -1,5 +1,5 @@
 /*
- * What upstreams' answers to starts, stops and looks mean.
+ * Handling of the upstreams' answers to starts, stops and polls.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -7,23 +7,25 @@
 #include "array.h"
 #include "broker_state.h"
 
-/* A run that has not moved on for so long, and for that multiple of the time
- * it should take in all, stands still. */
+/* A run is stalled if its progress has not increased for this time, nor for
+ * this part of its expected run time. */
 #define STALL_MIN_US (150 * USEC_PER_MSEC)
 static const double STALL_RUN_SHARE = 0.6;
-/* Until a stop without answer is sent again. */
+/* A stop that is not confirmed by then is sent again. */
 #define STOP_RETRY_US (60 * USEC_PER_MSEC)
-/* An upstream without room is not asked again before this; its next end is
- * seen sooner, by the look. */
+/* No start is sent for this long to an upstream that refused one for lack of
+ * capacity; a poll usually reports the next ended run sooner. */
 #define FULL_RETRY_US (30 * USEC_PER_MSEC)
-/* A start without answer may be carried out so much later. */
+/* An upstream may execute a start that it did not answer up to this much
+ * later. */
 #define LOST_START_MAX_US (12 * USEC_PER_SEC)
-/* Weight of a sample against the job's other tasks, which differ little; and
- * against what was declared, which says hardly anything of one upstream. */
+/* Weight of a slowness sample: relative to the other tasks of the job, which
+ * differ little, and relative to the declared run time, which says little
+ * about the upstream. */
 static const double SIBLINGS_WEIGHT = 0.3;
 static const double DECLARED_WEIGHT = 0.03;
-/* Percents a run must have come to before its pace is judged: earlier the way
- * to the upstream and the look's own grain are most of the time. */
+/* The speed of a run is estimated only from PERCENT_MIN on: before that, most
+ * of the elapsed time is latency and the interval of the polls. */
 enum { PERCENT_FULL = 100, PERCENT_MIN = 40 };
 
 static bool
@@ -48,7 +50,7 @@
     b->ack_mean_us += (took_us - b->ack_mean_us) / 8;
 }
 
-/* Answers to looks */
+/* Answers to polls */
 
 static struct run_task *
 find_placed_run(struct broker *b, const struct broker_upstream *u,
@@ -64,8 +66,9 @@
     return NULL;
 }
 
-/* How slow an upstream is shows best against the other tasks of the job: what
- * callers declare is off by half and more, and alike for all of them. */
+/* The slowness of an upstream is best measured relative to the other tasks of
+ * the job: declared run times are often wrong by half and more, by the same
+ * factor for all tasks of a job. */
 static void
 sample_slowness(struct broker *b, struct broker_upstream *u,
                 const struct run_job *job, const struct run_task *t,
@@ -92,8 +95,8 @@
     double ran_us = (double)(b->now.mono_us - t->start_sent_us) /
                     place_remote_factor(g, u);
 
-    /* Not divided by the upstream's slowness: what is learned of one would
-     * then rest on the other, and both could drift off together. */
+    /* Not divided by the upstream's slowness: the estimates of run time and of
+     * slowness would then depend on each other and could drift together. */
     histogram_add(&b->histograms.run, b->now.mono_us - t->start_sent_us);
     if (!b->opts.disabled[BROKER_FEATURE_LEARNED]) {
         order_record_run(job, g, (int64_t)ran_us + 1);
@@ -112,7 +115,7 @@
     struct run_task *t = find_placed_run(b, u, e->task, &job);
 
     if (t == NULL) {
-        return; /* of a broker before us, or settled otherwise */
+        return; /* started by an earlier holder, or already resolved */
     }
     if (e->outcome != LEASE_END_DONE) {
         broker_log(
@@ -159,8 +162,8 @@
     }
 }
 
-/* What the share of its work that is done by now says of the upstream, against
- * the job's other tasks. */
+/* Raises the slowness of the upstream at once if the progress of a run shows
+ * that it is much slower than the finished tasks of its job were. */
 static void
 sample_progress(struct broker_upstream *u, const struct run_job *job,
                 const struct run_task *t, int64_t ran_us)
@@ -216,7 +219,7 @@
     }
 }
 
-/* Whether something runs there that is not ours; it is stopped. */
+/* Returns whether there are unknown runs, after sending stops for them. */
 static bool
 process_running(struct broker *b, struct broker_upstream *u,
                 const struct lease_answer *a)
@@ -258,9 +261,9 @@
     return false;
 }
 
-/* Of the tasks that are not listed as running or ended: those whose stop was
- * confirmed before the look was sent, or whose start is refused as late by
- * now, will never run. */
+/* Of the placed tasks that the answer lists neither as running nor as ended,
+ * those will never run whose stop was confirmed before the poll was sent, or
+ * whose start would be refused as late by now. */
 static void
 resolve_unlisted(struct broker *b, struct broker_upstream *u,
                  const struct lease_answer *a, int64_t sent_us)
@@ -277,7 +280,7 @@
         bool late;
 
         if (i > u->n_tasks) {
-            continue; /* settling one may have ended its job */
+            continue; /* the last one may have removed its whole job */
         }
         t = run_find_task(b, &u->tasks[i - 1], &job);
         if (is_listed_running(a, lease_task_ref(job, t))) {
@@ -285,8 +288,8 @@
         }
         stopped = t->stop_confirmed_us <= sent_us;
         late = t->start_sent_us + late_us < sent_us;
-        /* Seen running before, and now gone without an end: the list of ends
-         * is cut off at some length; it is in the next one. */
+        /* A run that was running and is not listed any more has ended, but the
+         * list of ended runs has a maximum length: the next one holds it. */
         if (!(stopped || late) ||
             (t->state == RUN_RUNNING && a->n_ended > 0)) {
             continue;
@@ -339,7 +342,7 @@
     }
     process_ends(b, u, a);
     if (stale) {
-        /* A peek that was answered meanwhile knew better what runs. */
+        /* A quick poll answered meanwhile had a newer list of runs. */
         hold_on_poll_answer(b, u, u->unknown_runs);
         return;
     }
@@ -392,7 +395,7 @@
          struct run_task *t, enum lease_result result)
 {
     if (t->state != RUN_STARTING && t->state != RUN_STOPPING) {
-        return; /* a look told more already */
+        return; /* resolved by a poll before */
     }
     switch (result) {
     case LEASE_OK:
@@ -434,11 +437,12 @@
         u->quick_poll_due = true;
     }
     else if (t->state == RUN_STOPPING && result == LEASE_NO_ANSWER) {
-        u->quick_poll_due = true; /* sends it again, if need be */
+        /* Its answer resends the stop if necessary. */
+        u->quick_poll_due = true;
     }
 }
 
-/* The task a call was about, if it is still about that run. */
+/* The task of a call, or NULL if the run is not the task's current one. */
 static struct run_task *
 find_call_task(struct broker *b, const struct broker_call *c,
                struct run_job **job)
@@ -482,7 +486,8 @@
     }
 }
 
-/* True when the answer is of another life than the one we hold. */
+/* Whether the answer is of another incarnation than the known one; takes over
+ * a newer one. */
 static bool
 is_other_incarnation(struct broker *b, struct broker_upstream *u,
                      const struct lease_answer *a)
@@ -539,7 +544,8 @@
         u->quick_poll = 0;
         quick = true;
     }
-    /* Of before it was taken anew: its clock and lists are another's. */
+    /* Sent before the upstream was taken again: its answer may be of another
+     * incarnation or of runs under the earlier fence. */
     if (c.born_ms != u->born_ms || c.fence != u->fence) {
         if (u->state == HOLD_TAKING && u->poll == 0 &&
             u->poll_us == INT64_MAX) {
--- a/src/broker_caller.c
+++ b/src/broker_caller.c
@@ -1,6 +1,6 @@
 /*
- * Jobs that callers handed in here: each is offered to the runner that will
- * have room for it first, and its caller is answered with what becomes of it.
+ * Jobs that callers submitted to this broker.  Each is offered to the runner
+ * that is expected to have capacity first; its outcome is the caller's answer.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -8,22 +8,22 @@
 #include "broker_state.h"
 
 enum {
-    REOFFERS_MAX = 3, /* runners that a job is offered to */
+    REOFFERS_MAX = 3, /* of a job, after its first offer */
 };
 
-/* What a job loses by going to another zone: a round trip there, and the
- * bytes.  Smaller differences in waiting are not worth it. */
+/* Cost of running a job in another zone: a round trip and the transfer. */
 #define CROSS_ZONE_COST_US (8 * USEC_PER_MSEC)
-/* Nothing runs where room should come free: wait for others rather. */
+/* Assumed wait at a runner that is full and releases no capacity. */
 #define STALLED_RUNNER_US (10 * USEC_PER_SEC)
-/* A refusal for want of a runner: about as long as brokers need to take over
- * what a lost one held. */
+/* Retry advice when there is no runner: about the time in which brokers take
+ * over the upstreams of a lost one. */
 #define NO_RUNNER_RETRY_US (1 * USEC_PER_SEC)
-/* What is declared may take three times as long, and has to be placed. */
+/* A job accepted late in a stop may take three times its declared run time,
+ * and some time to be placed and answered. */
 enum { STOP_RUN_FACTOR = 3 };
 #define STOP_MARGIN_US (300 * USEC_PER_MSEC)
-/* Callers that are told to come back at the same time would come back as one
- * burst; they are spread by up to half the time. */
+/* Callers that were refused together would retry as one burst, so each retry
+ * time is extended by a random part of up to half of it. */
 enum { RETRY_JITTER_DIVISOR = 2 };
 
 static int64_t
@@ -136,7 +136,8 @@
     return cpu;
 }
 
-/* What has to fit there before the job's first groups have all started. */
+/* Milli-cores needed at the peer until the job's first groups have started: of
+ * the jobs queued before it, of jobs sent since the report, and its own. */
 static uint64_t
 needed_milli(const struct broker_load *l, const struct rec_job_offer *o)
 {
@@ -147,8 +148,8 @@
     return ahead + l->sent_milli + first_groups_milli(o);
 }
 
-/* Until all tasks of the job's first groups have room there: what is free now,
- * less what waits before them, and then as room comes free. */
+/* Time until the peer has capacity for all tasks of the job's first groups:
+ * what it needs beyond the free capacity comes free at the reported rate. */
 static int64_t
 expected_wait_us(const struct broker_load *l, const struct rec_job_offer *o)
 {
@@ -164,8 +165,8 @@
                      l->reported.rate);
 }
 
-/* Milli-cores that are left there when the job has started; at least one, so
- * that the draw below has something to draw from. */
+/* Milli-cores that are free at the peer after the job has started; at least 1,
+ * since it is used as a weight. */
 static uint64_t
 remaining_milli(const struct broker_load *l, const struct rec_job_offer *o)
 {
@@ -176,17 +177,17 @@
                : 1;
 }
 
-/* Brokers that were tried are not tried again: they returned it for a reason
- * that still holds.  Among runners where the job would wait alike one is
- * drawn, those with more room more often: all brokers know the same reports,
- * and would else send all jobs between two reports to the same runner. */
+/* @except is the runner that returned the job: its reason probably still
+ * holds. Among runners with the same wait one is drawn at random, weighted by
+ * free capacity: all brokers have the same load reports, and would otherwise
+ * all send their jobs to the same runner until the next report. */
 static struct broker_peer *
 choose_runner(struct broker *b, const struct rec_job_offer *o,
               struct name except)
 {
     struct broker_peer *best = NULL;
     int64_t best_us = INT64_MAX;
-    uint64_t total = 0; /* at all that are as good as the best */
+    uint64_t total = 0; /* free capacity of all runners with the best wait */
 
     for (struct broker_peer *p = b->peers; p != NULL; p = p->next) {
         struct broker_load *l = find_load(p, o->service);
@@ -214,8 +215,8 @@
     return best;
 }
 
-/* Between two reports every job would go to the same runner, the one that was
- * idle last: what is sent there counts at once. */
+/* Without this, all jobs until the next load report would go to the runner
+ * that was last reported idle. */
 static void
 count_sent_work(struct broker_peer *p, const struct rec_job_offer *o)
 {
@@ -248,10 +249,10 @@
     return true;
 }
 
-/* When a whole region comes back, brokers have their configuration some tens
- * of milliseconds before the first of them has upstreams.  Callers that come
- * then are served if they are kept for that time; at other times nobody knows
- * when there will be a runner, and they are told so at once. */
+/* When a whole region restarts, brokers have their configuration some tens of
+ * milliseconds before the first of them holds upstreams, so jobs submitted in
+ * that time wait for a runner.  At other times it is unknown when there will
+ * be one, and jobs are refused at once. */
 static bool
 runner_expected(const struct broker *b)
 {
@@ -311,8 +312,8 @@
     o->n_groups = s->n_groups;
 }
 
-/* While this broker stops, callers whose connections are still open go on
- * sending: what surely ends before it does is served. */
+/* Callers with open connections may submit jobs after stop_accept_us: a job
+ * that certainly ends before the stop does is still accepted. */
 static bool
 ends_before_stop(const struct broker *b, const struct bev_submit *s)
 {
@@ -351,8 +352,8 @@
                     NO_RUNNER_RETRY_US, "at once");
         return;
     }
-    /* The queue's timeout is for callers that don't tell how long they wait:
-     * applied to the others it would cut off long jobs that they wait for. */
+    /* The queue's timeout applies only if the caller sent none: otherwise it
+     * could end long jobs that the caller still waits for. */
     timeout_us = s->timeout_us > 0 ? s->timeout_us : s->queue->timeout_us;
     c = table_add(&b->caller_jobs, &h);
     c->self = h;
@@ -453,10 +454,10 @@
                (int64_t)e->retry_after_us);
 }
 
-/* Its runs go on until the upstreams' leases pass, or until another broker has
- * taken the upstreams over.  So the job can't be said not to have run, and is
- * not offered to anybody else: its caller hears at once that the outcome is
- * not known and hands it in again when that time is over. */
+/* Runs that the lost runner started continue until their leases expire or
+ * another broker takes over the upstreams.  So the job may have run, and is
+ * not offered to another runner.  The caller gets an unknown outcome at once,
+ * and submits the job again when those runs have ended. */
 void
 caller_on_runner_lost(struct broker *b, struct name runner)
 {
--- a/src/broker_config.c
+++ b/src/broker_config.c
@@ -1,26 +1,26 @@
 /*
- * The configuration that registries publish.
+ * Fetching of the configuration from the registries.
  *
- * Every registry tells which version it has: one that is cut off from the
- * others has nothing newer to tell, so asking one alone could leave an old
- * configuration in force here.  The text comes from one of them only.  As many
- * copies as there are registries would fill the link of a small machine, and
- * neither the next change nor anything else would get through in time.
+ * Every registry is polled for its version: a registry that is cut off from
+ * the others does not learn of newer versions, so polling only one could keep
+ * an old configuration in force here.  The text is fetched from one registry
+ * only: a copy from each would fill the link of a small machine and delay all
+ * other messages, including the next change.
  */
 #include <string.h>
 
 #include "broker_state.h"
 #include "textpack.h"
 
-/* Between two questions for a newer version that were not answered: longer
- * than control keeps a poll open. */
+/* A version poll without an answer is repeated after this; longer than control
+ * keeps a poll open. */
 #define POLL_RETRY_US (5 * USEC_PER_SEC)
-/* The members of control learn of a change within a heartbeat of each other.
- * So long a registry of this zone may take to tell of it, since a text from
- * another zone costs more. */
+/* How long to wait for a registry of this zone to report a version that one of
+ * another zone has reported: a text from another zone costs more, and the
+ * members of control learn of a change within one heartbeat of each other. */
 #define SAME_ZONE_WAIT_US (100 * USEC_PER_MSEC)
-/* A text that is still under way must not be asked for again and again, so
- * each time it is waited for longer. */
+/* Time-out of a fetch.  It grows with each time-out in a row, so that a text
+ * that takes long to arrive is not requested again and again. */
 #define FETCH_TIMEOUT_US (1 * USEC_PER_SEC)
 enum { FETCH_TIMEOUT_GROWTH = 2 };
 
@@ -43,7 +43,7 @@
     return newest_reported(b) > b->config_version;
 }
 
-/* Asking */
+/* Requests */
 
 static bool
 is_fetching(const struct broker *b)
@@ -76,14 +76,16 @@
     return name_equal(p->zone, b->opts.zone);
 }
 
-/* Registries of this zone first, and last those that kept it waiting. */
+/* Registries of this zone are preferred, registries that timed out come
+ * last. */
 static int
 source_cost(const struct broker *b, const struct broker_peer *p)
 {
     return (p->fetch_timed_out ? 2 : 0) + (is_same_zone(b, p) ? 0 : 1);
 }
 
-/* One of those that told of @version, drawn among the best. */
+/* A registry that reported @version, drawn at random among those of the lowest
+ * cost. */
 static struct broker_peer *
 choose_source(struct broker *b, uint64_t version)
 {
@@ -133,7 +135,8 @@
     b->fetch.timeout_us *= FETCH_TIMEOUT_GROWTH;
 }
 
-/* Nothing newer is known of: whoever was asked before need not answer. */
+/* No newer version is known; an answer that is still outstanding is not waited
+ * for. */
 static void
 reset_fetch(struct config_fetch *f)
 {
@@ -207,7 +210,7 @@
     }
 }
 
-/* What came */
+/* Replies */
 
 static size_t
 reply_bytes(const struct rec_config_reply *r)
--- a/src/broker_effect.h
+++ b/src/broker_effect.h
@@ -1,7 +1,8 @@
 /**
- * DOC: broker_effect - what a broker decides to do, as data
+ * DOC: broker_effect - the outputs of the broker reducer
  *
- * Carried out in order.  Effects own what they point to.
+ * The runtime carries effects out in order.  An effect owns the data that it
+ * points to.
  */
 #ifndef BM_BROKER_EFFECT_H
 #define BM_BROKER_EFFECT_H
@@ -9,16 +10,16 @@
 #include "lease.h"
 #include "wire.h"
 
-/* BROKER_EFFECT(NAME, member of the union, what to do) */
+/* BROKER_EFFECT(NAME, member of the union, description) */
 /* clang-format off */
 #define BROKER_EFFECT_LIST(BROKER_EFFECT)                                     \
     BROKER_EFFECT(ANSWER, answer, "answer a caller")                          \
     BROKER_EFFECT(CALL, call, "call an upstream")                             \
     BROKER_EFFECT(SEND, send, "send a message to a process")                  \
-    BROKER_EFFECT(CONNECT, connect, "keep a connection to a process")         \
-    BROKER_EFFECT(FORGET, connect, "no connection to a process any more")     \
+    BROKER_EFFECT(CONNECT, connect, "keep a process connected")               \
+    BROKER_EFFECT(FORGET, connect, "disconnect from a process")               \
     BROKER_EFFECT(LOG, log, "log a decision")                                 \
-    BROKER_EFFECT(STOPPED, none, "nothing is in progress any more")
+    BROKER_EFFECT(STOPPED, none, "the planned stop is complete")
 
 enum broker_effect_kind {
 #define BROKER_EFFECT(NAME, member, text) BE_##NAME,
@@ -27,15 +28,15 @@
     BROKER_EFFECT_KINDS,
 };
 
-/* What becomes of a job: JOB_OUTCOME(NAME, text). */
+/* Outcomes of jobs: JOB_OUTCOME(NAME, text in logs and metrics). */
 #define JOB_OUTCOME_LIST(JOB_OUTCOME)                                         \
     JOB_OUTCOME(COMPLETED, "completed")                                       \
     JOB_OUTCOME(FAILED, "failed")                                             \
     JOB_OUTCOME(CANCELLED, "cancelled")                                       \
-    JOB_OUTCOME(REFUSED, "refused")   /* nothing of it ran, or will */        \
-    JOB_OUTCOME(RETURNED, "returned") /* likewise; another may run it */      \
+    JOB_OUTCOME(REFUSED, "refused")   /* no task ran, or will run */          \
+    JOB_OUTCOME(RETURNED, "returned") /* the same; offer it elsewhere */      \
     JOB_OUTCOME(EXPIRED, "expired")   /* not ended by its deadline */         \
-    JOB_OUTCOME(LOST, "lost")         /* what ran of it is not known */
+    JOB_OUTCOME(LOST, "lost")         /* unknown which tasks ran */
 
 enum job_outcome {
 #define JOB_OUTCOME(NAME, text) JOB_##NAME##_OUTCOME,
@@ -44,7 +45,8 @@
     JOB_OUTCOMES,
 };
 
-/* Why something was decided: BROKER_REASON(NAME, text, for people). */
+/* Reasons of decisions: BROKER_REASON(NAME, text in logs, explanation in
+ * docs/OPERATIONS.md). */
 #define BROKER_REASON_LIST(BROKER_REASON)                                     \
     BROKER_REASON(NONE, "none", "no reason was needed")                       \
     BROKER_REASON(TAKEN, "job-taken", "a caller's job was taken")             \
@@ -122,19 +124,20 @@
 };
 /* clang-format on */
 
-/** broker_reason_text() - as it stands in logs */
+/** broker_reason_text() - the text in logs */
 const char *broker_reason_text(enum broker_reason r);
 
-/** job_outcome_text() - as it stands in logs */
+/** job_outcome_text() - the text in logs and metrics */
 const char *job_outcome_text(enum job_outcome o);
 
 /**
- * struct be_answer - to a caller
- * @request: it belongs to
+ * struct be_answer - answers a caller
+ * @request: number of the caller's request
  * @outcome: of the job
- * @reason: for it
- * @retry_after_us: of a refusal: not before; 0 where there is nothing to say
- * @unknown: of a cancel: there is no such job here
+ * @reason: of @outcome
+ * @retry_after_us: for a refusal: the caller should not retry sooner; 0: no
+ *                  advice
+ * @unknown: for a cancellation: no such job here
  */
 struct be_answer {
     uint64_t request;
@@ -144,7 +147,7 @@
     bool unknown;
 };
 
-/** struct be_call - @call comes back in BEV_CALLED */
+/** struct be_call - calls an upstream; @call identifies it in BEV_CALLED */
 struct be_call {
     uint64_t call;
     struct lease_request request;
@@ -161,12 +164,12 @@
 };
 
 /**
- * struct be_log - one decision
+ * struct be_log - logs one decision
  * @severity: of syslog
- * @job: the caller's number; 0 where the line is not about one
- * @task: number of the task in its job; -1 where the line is not about one
+ * @job: the caller's number of the job; 0 if the line is not about a job
+ * @task: number of the task in its job; -1 if the line is not about a task
  * @subject: upstream or process; may be empty
- * @detail: the inputs that decided it
+ * @detail: the inputs of the decision
  */
 struct be_log {
     int severity;
@@ -189,22 +192,24 @@
     } u;
 };
 
-/** struct broker_effects - a growing list, reused from step to step */
+/** struct broker_effects - a growing list, reused by each step; @capacity is
+ * the allocated length of @items */
 struct broker_effects {
     struct broker_effect *items;
     size_t n;
     size_t capacity;
 };
 
-/** broker_effects_add() - appends a zeroed effect; the pointer holds until the
- * next call.  Ends the process when memory is out. */
+/** broker_effects_add() - appends a zeroed effect; the pointer is valid until
+ * the next call.  Aborts when out of memory. */
 struct broker_effect *broker_effects_add(struct broker_effects *fx,
                                          enum broker_effect_kind kind);
 
-/** broker_effects_clear() - releases what the effects own; empties the list */
+/** broker_effects_clear() - frees the data of the effects and empties the
+ * list, but keeps its memory */
 void broker_effects_clear(struct broker_effects *fx);
 
-/** broker_effects_free() - broker_effects_clear() and the list itself */
+/** broker_effects_free() - broker_effects_clear(), then frees the list */
 void broker_effects_free(struct broker_effects *fx);
 
 #endif
--- a/src/broker_event.h
+++ b/src/broker_event.h
@@ -1,8 +1,8 @@
 /**
- * DOC: broker_event - everything that can happen to a broker
+ * DOC: broker_event - the inputs of the broker reducer
  *
- * An event lends its pointers for the length of one step.  Each carries the
- * time.
+ * The pointers in an event are borrowed: they must stay valid for one
+ * broker_step().
  */
 #ifndef BM_BROKER_EVENT_H
 #define BM_BROKER_EVENT_H
@@ -15,12 +15,12 @@
 /* clang-format off */
 #define BROKER_EVENT_LIST(BROKER_EVENT)                                       \
     BROKER_EVENT(TICK, none, "time has passed")                               \
-    BROKER_EVENT(SUBMIT, submit, "a caller hands a job in")                   \
+    BROKER_EVENT(SUBMIT, submit, "a caller submits a job")                    \
     BROKER_EVENT(CANCEL, cancel, "a caller cancels a job")                    \
-    BROKER_EVENT(GONE, gone, "a caller has left")                             \
-    BROKER_EVENT(CALLED, called, "a call to an upstream came to an end")      \
+    BROKER_EVENT(GONE, gone, "a caller disconnected")                         \
+    BROKER_EVENT(CALLED, called, "a call to an upstream ended")               \
     BROKER_EVENT(MESSAGE, message, "a message from another process")          \
-    BROKER_EVENT(PEER, peer, "the connection to a process came or went")      \
+    BROKER_EVENT(PEER, peer, "a process was connected or disconnected")       \
     BROKER_EVENT(STOP, none, "a planned stop begins")
 /* clang-format on */
 
@@ -32,14 +32,14 @@
 };
 
 /**
- * struct bev_submit - a caller's job
+ * struct bev_submit - a caller submits a job
  * @request: number that the answer carries
  * @id: the caller's number of the job
- * @queue: it goes to, of the configuration in force
- * @spec: of all its tasks
- * @groups: its tasks, steps in order
+ * @queue: its queue, of the configuration in force
+ * @spec: description of all tasks, passed to the upstreams unread
+ * @groups: groups of tasks; a group depends only on earlier ones
  * @n_groups: 1 to TASK_GROUPS_MAX
- * @timeout_us: the caller waits so long; 0 where it did not tell
+ * @timeout_us: the caller waits this long for the answer; 0: not specified
  */
 struct bev_submit {
     uint64_t request;
@@ -51,18 +51,21 @@
     int64_t timeout_us;
 };
 
-/** struct bev_cancel - @request is answered; @id is the job's */
+/** struct bev_cancel - a caller cancels the job @id; the answer to the
+ * cancellation carries @request */
 struct bev_cancel {
     uint64_t request;
     uint64_t id;
 };
 
+/** struct bev_gone - the caller of @request disconnected before its answer */
 struct bev_gone {
     uint64_t request;
 };
 
+/** struct bev_called - a call to an upstream ended; @call is be_call.call */
 struct bev_called {
-    uint64_t call; /* number from the effect */
+    uint64_t call;
     struct lease_answer answer;
 };
 
@@ -77,16 +80,16 @@
 };
 
 enum {
-    TASK_GROUPS_MAX = 64,    /* of a job: they fit into one word of bits */
+    TASK_GROUPS_MAX = 64,    /* of a job: dependencies are a 64-bit mask */
     BROKER_TASKS_MAX = 1024, /* of a job */
 };
 
 /**
- * struct broker_event - what happens
- * @kind: which of @u
- * @now: when
- * @callers_known_us: monotonic time; of all callers that left before it the
- * broker has been told
+ * struct broker_event - an input of broker_step()
+ * @kind: selects the member of @u
+ * @now: time of the event
+ * @callers_known_us: monotonic time; all callers that disconnected before it
+ *                    have been reported to the broker
  */
 struct broker_event {
     enum broker_event_kind kind;
--- a/src/broker_metrics.h
+++ b/src/broker_metrics.h
@@ -8,7 +8,7 @@
 
 #include "broker.h"
 
-/** broker_metrics_print() - in the Prometheus text format */
+/** broker_metrics_print() - prints to @out in the Prometheus text format */
 void broker_metrics_print(FILE *out, const struct broker *b);
 
 #endif
--- a/src/broker_place.c
+++ b/src/broker_place.c
@@ -1,16 +1,16 @@
 /*
- * Where a task goes: the upstream where it should end first, and among equals
- * the one that is left with least unused room, so that large tasks find room
- * elsewhere.
+ * Placement: a task goes to the upstream where it is expected to end first;
+ * among equals to the one with the least capacity left (best fit), so that
+ * other upstreams keep room for large tasks.
  */
 #include "broker_state.h"
 
-/* A task away from its data takes about that much longer. */
+/* Factor on the run time of a task away from its data. */
 static const double REMOTE_FACTOR = 1.5;
-/* An upstream this much slower than usual gets work only to see whether it has
+/* An upstream slower than this gets one task at a time, to notice when it has
  * recovered. */
 static const double USABLE_SLOWNESS_MAX = 2.5;
-/* Run times closer than this share are taken as equal. */
+/* Expected run times that differ by less than this part count as equal. */
 static const double RUN_TIME_TOLERANCE = 0.1;
 
 static bool
@@ -72,7 +72,7 @@
     return scaled_run_us(order_expected_us(job, g), g, u);
 }
 
-/* Tasks of the same group of the job that are there already. */
+/* Number of tasks of the same group of the job placed on the upstream. */
 static uint32_t
 count_group_tasks(const struct run_job *job, const struct run_task *t,
                   const struct broker_upstream *u)
@@ -97,7 +97,7 @@
 
     bool leaving = u->leaving && !b->opts.breaks[BROKER_BREAK_START_LEAVING];
 
-    /* A stranger that is being stopped takes room that nobody counts here. */
+    /* Unknown runs use resources that are not counted in @used. */
     return u->state == HOLD_OPEN && !leaving && !u->gone && !u->unknown_runs &&
            u->full_until_us <= b->now.mono_us && u->n_tasks < u->slots &&
            resources_fit(required_resources(g), free_resources(u)) &&
@@ -117,10 +117,11 @@
            left_milli < best_left_milli;
 }
 
-/* Where a start of the task that was not answered may still be carried out.
- * The upstream refuses it while it lives, as the run was stopped; a new life
- * does so once it is taken under a higher fence.  Elsewhere the task could run
- * beside it meanwhile.  One that is silent or fails is not waited for. */
+/* The upstream that may still execute a start of the task that it did not
+ * answer, or NULL.  The same incarnation refuses that start, since the run was
+ * stopped; a new incarnation does so only once it is taken under a higher
+ * fence.  Until then the task must not start elsewhere, as two runs could
+ * overlap.  An upstream that does not answer or fails is not waited for. */
 static struct broker_upstream *
 pending_lost_start(struct broker *b, const struct run_task *t)
 {
--- a/src/broker_run.c
+++ b/src/broker_run.c
@@ -1,16 +1,16 @@
 /*
- * Jobs that are run here, for callers of this broker and of others.
+ * Running jobs, for the callers of this broker and of other brokers.
  *
- * A task is started again only when it surely does not run any more: its end
- * was told, a stop of it was confirmed, or the lease under which it ran has
- * passed.
+ * A task is started again only when its last run has certainly ended: the
+ * upstream reported its end or confirmed a stop, or the lease of the run has
+ * expired.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "broker_state.h"
 
-/* A waiting job is looked at so often to see whether it is hopeless by now. */
+/* Interval between checks whether waiting jobs can still be in time. */
 #define QUEUE_REVIEW_US (20 * USEC_PER_MSEC)
 
 struct broker_service *
@@ -49,8 +49,8 @@
     return *job != NULL ? &(*job)->tasks[p->task] : NULL;
 }
 
-/* The life of a job that goes on, or, with @told, one that has ended and of
- * which something is still at an upstream. */
+/* Returns a submission of the job that is not closed, or, with @closed, a
+ * closed one that may still have runs on upstreams. */
 static struct run_job *
 find_submission(struct broker *b, uint64_t id, bool closed,
                 const struct run_job *except)
@@ -67,7 +67,7 @@
     return NULL;
 }
 
-/* Telling the taker */
+/* Closing a job */
 
 static void
 send_job_end(struct broker *b, struct name taker, uint64_t number,
@@ -83,7 +83,8 @@
     broker_send(b, taker, &m);
 }
 
-/* The life that waits for all earlier ones, if this was the last of them. */
+/* Queues the submission that waits for all earlier ones of the job, if @last
+ * was the last of these. */
 static void
 unblock_submission(struct broker *b, const struct run_job *last)
 {
@@ -102,14 +103,14 @@
     int64_t after_us = b->now.mono_us - job->closed_us;
 
     if (after_us == 0) {
-        return; /* nothing of it was left at an upstream */
+        return; /* no run was left on an upstream */
     }
     histogram_add(&b->histograms.settle, after_us);
     broker_log(b, LOG_INFO, BROKER_SETTLED, job->id, -1, job->taker,
                "%lld ms after its end", (long long)(after_us / USEC_PER_MSEC));
 }
 
-/* Removed once nothing of it can be at an upstream any more. */
+/* Frees a closed job once none of its tasks can run on an upstream. */
 static void
 remove_if_resolved(struct broker *b, struct run_job *job)
 {
@@ -139,8 +140,8 @@
     }
 }
 
-/* The outcome is decided: its taker hears it at once, what still runs is
- * stopped and settled. */
+/* Sends the outcome to the taker at once.  The job is kept until all its runs
+ * have been stopped. */
 static void
 close_job(struct broker *b, struct run_job *job, enum job_outcome outcome,
           enum broker_reason reason, int64_t retry_us)
@@ -184,7 +185,7 @@
     remove_if_resolved(b, job);
 }
 
-/* Taking a job */
+/* Accepting a job */
 
 static bool
 group_may_start(const struct run_job *job, uint32_t group)
@@ -282,8 +283,8 @@
     return reason;
 }
 
-/* What the refusal was decided by; where time plays no part (it never fits, or
- * this broker is stopping) there is no time to retry after. */
+/* @retry_us is 0 for refusals that do not depend on time: the job never fits,
+ * or this broker is stopping. */
 static void
 log_refusal(struct broker *b, const struct run_job *job,
             enum broker_reason reason, int64_t retry_us)
@@ -302,9 +303,10 @@
                job->n_tasks, job->service->n_queued, times);
 }
 
-/* It was handed in again while the first is here: the caller was told nothing,
- * or what it was told was lost.  The one that runs serves both; one that is
- * being stopped has to be over before the next begins. */
+/* A caller that got no answer submits its job again while the earlier
+ * submission is still here.  If that is not closed, it continues for the new
+ * taker.  If it is closed, its remaining runs must end before the new
+ * submission starts: @blocked is set then. */
 static bool
 merge_resubmission(struct broker *b, struct name from,
                    const struct rec_job_offer *o, bool *blocked)
@@ -552,8 +554,8 @@
     }
 }
 
-/* A task that fails everywhere is its job's fault: only its first failure
- * counts against the upstream. */
+/* A task that fails on every upstream is at fault itself, so only its first
+ * failure counts against the upstream. */
 void
 run_mark_failed(struct broker *b, struct run_job *job, struct run_task *t)
 {
@@ -577,9 +579,9 @@
     }
 }
 
-/* Placing */
+/* Placement */
 
-/* False when a task found no room. */
+/* Returns false if a ready task could not be placed. */
 static bool
 place_job(struct broker *b, struct run_job *job)
 {
@@ -594,7 +596,7 @@
         }
         u = place_choose(b, job, t);
         if (u == NULL && !name_empty(t->avoid_upstream)) {
-            /* Better where it failed than nowhere. */
+            /* Rather the upstream where it failed than none. */
             t->avoid_upstream = name_of("");
             u = place_choose(b, job, t);
         }
@@ -610,9 +612,9 @@
     return all;
 }
 
-/* Every waiting job is judged, not only those whose turn may come: a late one
- * behind others without room would keep its caller waiting for an answer that
- * is known to be a refusal. */
+/* Checks every waiting job, also those behind jobs that find no capacity:
+ * otherwise a job that cannot meet its deadline would be refused only when its
+ * turn comes. */
 static void
 review_queue(struct broker *b, struct broker_service *s)
 {
@@ -632,7 +634,8 @@
     }
 }
 
-/* One job of the queue; false where no late job behind it has a chance. */
+/* Returns false if no job behind this one can be started: a late job may not
+ * start now, and only late jobs follow it. */
 static bool
 serve_job(struct broker *b, struct run_job *job)
 {
@@ -648,7 +651,7 @@
     else if (job->late && job->started &&
              job->queue_key_us != job->latest_start_us) {
         order_remove(job);
-        order_insert(job); /* its place changes once, see there */
+        order_insert(job); /* ordered by its latest start from now on */
     }
     return true;
 }
--- a/src/broker_share.c
+++ b/src/broker_share.c
@@ -1,32 +1,34 @@
 /*
- * What part of the room each queue is entitled to while not all fits.
+ * Weighted shares of the capacity for the queues of a service, in overload.
  *
- * The load it answers: demand above what the upstreams can do.  Ordered by
- * their latest start alone, short jobs overtake long ones for as long as these
- * have time left: long ones are let in, wait, and are refused when their time
- * is over.  So what comes in is measured per queue; when all of it together is
- * more than there is, each queue may use its share at once, and what is beyond
- * that gets in only where there is hardly a wait.
+ * If jobs are ordered by their latest start alone and demand exceeds the
+ * capacity, short jobs overtake long ones as long as these have spare time:
+ * long jobs are admitted, wait, and are refused in the end.  So demand is
+ * measured per queue.  When the total exceeds the capacity, each queue may
+ * use its share at once, and further jobs of the queue are admitted only if
+ * they hardly have to wait.
  */
 #include <math.h>
 
 #include "broker_state.h"
 
-/* Time over which demand is averaged: several runs of the longest tasks. */
+/* Time constant of the moving average of demand: several run times of the
+ * longest tasks. */
 #define DEMAND_WINDOW_US (2 * USEC_PER_SEC)
-/* A queue may save up its share for so long: the longest jobs come about that
- * far apart. */
+/* A queue may accumulate credit for this long: about the time between two of
+ * the longest jobs. */
 #define CREDIT_WINDOW_US (500 * USEC_PER_MSEC)
 
-/* Of its spare time a job beyond its queue's share may wait that much: with
- * more it overtakes those that are entitled to the room. */
+/* Part of its spare time that a job beyond its queue's share may always wait;
+ * a higher value lets it overtake jobs within their queue's share. */
 static const double WAIT_FACTOR_MIN = 0.1;
-/* It is so strict from that excess of demand on, and less the smaller the
- * excess is: a cluster of long jobs is no overload. */
+/* Excess of demand over the capacity from which only WAIT_FACTOR_MIN is
+ * allowed; a smaller excess allows more, since a cluster of long jobs is not
+ * an overload. */
 static const double STRICT_EXCESS = 0.4;
 
-/* Compared to what each asks for, a queue of the first priority gets twice as
- * much room as one of the third, and each at least some. */
+/* Relative to its demand, a queue of priority 0 gets twice the share of one of
+ * priority 2; every priority gets some. */
 static double
 queue_weight(const struct queue_stats *q)
 {
@@ -44,8 +46,8 @@
     return offered;
 }
 
-/* What all get together when each gets its weight times @level of what it asks
- * for, and no more than that. */
+/* Sum of the shares if each queue gets weight * @level times its demand, and
+ * at most its demand. */
 static double
 total_granted(const struct broker_service *s, double level)
 {
@@ -59,7 +61,7 @@
     return sum;
 }
 
-/* The level at which all room is given out, by halving. */
+/* The level at which the shares add up to the capacity, by bisection. */
 static double
 find_level(const struct broker_service *s, double capacity)
 {
--- a/src/broker_state.h
+++ b/src/broker_state.h
@@ -1,16 +1,25 @@
 /**
- * DOC: broker_state - what the parts of the broker reducer share
+ * DOC: broker_state - state shared by the modules of the broker reducer
  *
- * broker.c routes events; broker_peer.c knows the other processes,
- * broker_config.c follows the configuration; broker_caller.c has the jobs that
- * callers handed in here; broker_run.c runs jobs, broker_renew.c knows how
- * long each may go on; broker_order.c decides which are let in and which go
- * first, broker_share.c what part of the room each queue may have,
- * broker_place.c where a task goes; broker_hold.c holds upstreams,
- * broker_shutdown.c goes on with them while a stop finds no successor,
- * broker_lease.c speaks with them, broker_health.c judges them.  A part calls
- * those that stand behind it in this list, and those before it only through
- * the functions below.
+ * In this order:
+ *
+ * - broker.c dispatches events;
+ * - broker_peer.c tracks the other processes;
+ * - broker_config.c fetches the configuration;
+ * - broker_caller.c keeps the jobs that callers submitted here;
+ * - broker_run.c runs jobs;
+ * - broker_renew.c bounds how long each job may run;
+ * - broker_order.c admits jobs and orders the queue;
+ * - broker_share.c divides the capacity between queues;
+ * - broker_place.c chooses the upstream of a task;
+ * - broker_hold.c takes and releases upstreams;
+ * - broker_shutdown.c keeps serving during a stop without a successor;
+ * - broker_lease.c sends calls to upstreams;
+ * - broker_answer.c handles the upstreams' answers;
+ * - broker_health.c tracks the health of upstreams.
+ *
+ * A module calls modules later in this list directly, and earlier ones only
+ * through the functions declared below.
  */
 #ifndef BM_BROKER_STATE_H
 #define BM_BROKER_STATE_H
@@ -26,33 +35,44 @@
 
 enum { UPSTREAM_LABELS_MAX = 4 };
 
-/** struct broker_load - a service's load at a peer, as it told last */
+/**
+ * struct broker_load - load of a service at a peer
+ * @reported: as the peer last reported it
+ * @sent_milli: milli-cores of the jobs offered to the peer since that report
+ */
 struct broker_load {
     struct rec_service_load reported;
-    uint64_t sent_milli; /* sent there since then */
+    uint64_t sent_milli;
 };
 
 /**
  * struct broker_peer - another process, or this one
- * @name: first: looked up by it
+ * @name: key of broker.peers_by_name; must be the first member
+ * @incarnation: start time of the process, see broker_options.incarnation
+ * @self: this process
  * @registry: serves as a registry
  * @broker: introduced itself as a broker
- * @up: there is a connection
- * @stopping: takes no new duties
- * @draining: runs jobs though it stops
+ * @up: connected
+ * @stopping: in a planned stop; takes no further upstreams
+ * @draining: still runs new jobs although it is stopping
  * @loads: of its services
- * @config_poll_us: of a registry: ask it then for a newer version
- * @reported_version: of a registry: newest version of the configuration that
- * it told of on this connection
- * @fetch_timed_out: of a registry: it was asked for a text and did not send it
- * in time
- * @last_sent_us: its clock, as of its newest load or check on this connection;
- * 0: none
- * @last_received_us: when that was read here
- * @confirmable_us: newest of them that was read before callers who had left
- * were looked for last
- * @wants_renewal: it waits for a renewal
- * @last_check_us: when it was last sent a load or a check
+ * @n_loads: number of @loads
+ * @config_poll_us: for a registry: when to ask it for a newer configuration
+ * @reported_version: for a registry: newest configuration version it reported
+ *                    on this connection
+ * @fetch_timed_out: for a registry: it did not send a requested configuration
+ *                   in time
+ * @last_sent_us: send time, on the peer's clock, of its newest load report or
+ *                check on this connection; 0: none
+ * @last_received_us: when that message was read, on this broker's clock
+ * @confirmable_us: newest @last_sent_us for which every caller that had left
+ *                  when the message was read is known here; a renewal may
+ *                  confirm jobs up to this time of the peer's clock
+ * @wants_renewal: a renewal has to be sent to the peer
+ * @last_check_us: when a load report or a check was last sent to the peer
+ * @down_us: when the connection was lost, or a registry last listed the
+ *           unconnected peer
+ * @next: in broker.peers
  */
 struct broker_peer {
     struct name name;
@@ -80,15 +100,15 @@
 };
 
 /**
- * struct config_fetch - the way of a newer configuration to this broker
- * @source: the registry that was asked for its text; empty: none
- * @timeout_at_us: another one is asked then
- * @timeout_us: from asking to @timeout_at_us
- * @first_reported_us: when a version above the one in force was first told; 0:
- * none was
- * @full_text: a change did not fit the text here, so the whole text is asked
- * for
- * @unreadable_version: newest version that can't be in force here
+ * struct config_fetch - progress of fetching a newer configuration
+ * @source: registry that was asked for the text; empty: none
+ * @timeout_at_us: when to give up on @source and ask another registry
+ * @timeout_us: from a request to its @timeout_at_us
+ * @first_reported_us: when a version newer than the one in force was first
+ *                     reported; 0: none was
+ * @full_text: request the full text, since a delta did not apply to the text
+ *             here
+ * @unreadable_version: newest version that could not be parsed here
  */
 struct config_fetch {
     struct name source;
@@ -99,16 +119,20 @@
     uint64_t unreadable_version;
 };
 
-/** struct holder_ref - a broker that holds upstreams of this zone */
+/** struct holder_ref - a broker that should hold upstreams of this zone */
 struct holder_ref {
     struct broker_peer *peer;
 };
 
 /**
- * struct caller_job - a job that a caller handed in here
- * @offer: JOB_OFFER; kept, to be offered to another runner
+ * struct caller_job - a job that a caller submitted to this broker
+ * @request: number of the caller's request, for the answer
+ * @offer: JOB_OFFER message; kept to offer the job to another runner
  * @runner: empty while there is none
- * @confirmed_us: when the runner was last told that the caller waits
+ * @reoffers: offers after the first
+ * @confirmed_us: when the runner was last sent an offer or a renewal that
+ *                confirms that the caller is still connected
+ * @deadline_us: the caller does not wait for an answer after this
  */
 struct caller_job {
     struct handle self;
@@ -123,31 +147,33 @@
 };
 
 enum run_state {
-    RUN_BLOCKED,    /* groups before it have not ended */
-    RUN_READY,      /* waits for room */
-    RUN_STARTING,   /* the start is not answered */
-    RUN_RUNNING,    /* acknowledged, or seen there */
-    RUN_UNRESOLVED, /* the start was lost; it may run, or still start */
-    RUN_STOPPING,   /* asked to stop */
-    RUN_ENDED,      /* well, or not needed any more */
+    RUN_BLOCKED,    /* groups that it depends on have not ended */
+    RUN_READY,      /* waits for capacity */
+    RUN_STARTING,   /* start sent, not answered */
+    RUN_RUNNING,    /* start acknowledged, or listed as running in a poll */
+    RUN_UNRESOLVED, /* start not answered; it may run, or start later */
+    RUN_STOPPING,   /* stop sent, end not confirmed */
+    RUN_ENDED,      /* succeeded */
 };
 
 /**
- * struct run_task - a task of a job that runs here
- * @run: of its last start
- * @failures: runs that failed
- * @upstream: where it is, from RUN_STARTING to RUN_STOPPING
- * @start_sent_us: when the start was sent
- * @expected_us: how long it should run there
- * @percent: of its work, as last seen
- * @progress_us: since when it has not risen
- * @stop_confirmed_us: a look sent after this time tells whether it is there;
- * INT64_MAX while a stop is not confirmed
- * @stop_sent_us: when a stop was sent last
- * @avoid_upstream: the upstream where it failed last
- * @lost_start_upstream: the upstream that did not answer a start of it
- * @lost_start_fence: of that start
- * @lost_start_until_us: it may still be carried out until then
+ * struct run_task - a task of a job that is run by this broker
+ * @group: index of its group in the job
+ * @index: of the task in its group
+ * @run: number of its last start
+ * @failures: number of runs that failed
+ * @upstream: where it is placed, from RUN_STARTING to RUN_STOPPING
+ * @start_sent_us: when the last start was sent
+ * @expected_us: expected run time on @upstream
+ * @percent: progress, as last reported
+ * @progress_us: when @percent last increased
+ * @stop_confirmed_us: when a stop was confirmed: a run that a poll sent after
+ *                     this does not list has ended; INT64_MAX: not confirmed
+ * @stop_sent_us: when a stop was last sent
+ * @avoid_upstream: upstream where it last failed or stalled
+ * @lost_start_upstream: upstream that did not answer a start of this task
+ * @lost_start_fence: fence of that start
+ * @lost_start_until_us: the upstream may still execute that start until then
  */
 struct run_task {
     enum run_state state;
@@ -169,29 +195,34 @@
 };
 
 /**
- * struct run_job - a job that is run here
- * @taker: the broker that has its caller
+ * struct run_job - a job that is run by this broker
+ * @taker: broker to which the caller submitted it
  * @number: of the job at @taker
- * @id: the caller's
- * @objective_us: an answer after it is late
- * @deadline_us: nobody waits for one after that
- * @latest_start_us: started by then, it can be in time
- * @queue_key_us: orders the queue, see broker_order.c
- * @work: expected processor time left to start, in milli-core microseconds
- * @late: can't be in time any more; served from what the others leave
- * @n_done: tasks that ended well
- * @total_run_us: how long they ran together, near their data
- * @n_unfinished: tasks that have not ended well
- * @n_ready: tasks that wait for room
- * @n_placed: tasks that are, or may be, at an upstream
- * @closed: its taker knows the outcome; what is left only has to be settled
- * @closed_us: since when
- * @accepted_us: when its taker offered it
- * @renewed_us: when its taker was last known to wait for it; of a job that is
- *              told: when that ended
- * @started: a start was sent
- * @blocked_by_earlier: earlier lives of the job must be settled first
+ * @id: the caller's number of the job
+ * @attempts: failures of one task after which the job fails
+ * @arrived_us: when @taker accepted it
+ * @objective_us: an answer after this is late
+ * @deadline_us: the caller does not wait for an answer after this
+ * @latest_start_us: started by then, it is expected to meet its objective
+ * @queue_key_us: sort key in the queue, lowest first, see broker_order.c
+ * @work: expected processor time of all its tasks, in milli-core microseconds
+ * @late: it can't meet its objective any more; it only gets capacity that the
+ *        other jobs leave unused
+ * @n_done: tasks that succeeded
+ * @total_run_us: their total run time, scaled to upstreams near their data
+ * @n_unfinished: tasks that have not succeeded
+ * @n_ready: tasks that wait for capacity
+ * @n_placed: tasks that run, or may run, on an upstream
+ * @closed: its outcome was sent to @taker, or @taker has dropped the job; kept
+ *          only until its runs on upstreams have ended
+ * @closed_us: when it was closed
+ * @accepted_us: when its taker last offered it
+ * @renewed_us: as of when the caller is known to be still interested; for a
+ *              closed job: as of when it last was
+ * @started: a start of one of its tasks was sent
  * @queued: in the service's queue
+ * @blocked_by_earlier: earlier submissions of the job may still have runs on
+ *                      upstreams, which must be resolved first
  */
 struct run_job {
     struct handle self;
@@ -232,10 +263,12 @@
 TAILQ_HEAD(run_queue, run_job);
 
 /**
- * struct queue_stats - what is learned of a queue
- * @run_estimate: its run times
- * @demand: work handed in lately, in milli-cores that it would keep busy
- * @credit: of its share, work that may be let in, in milli-core microseconds
+ * struct queue_stats - statistics of a queue
+ * @priority: 0 is the most urgent
+ * @run_estimate: run time estimates
+ * @demand: work submitted lately: moving average, in milli-cores
+ * @credit: work that may be admitted from the queue's share, in milli-core
+ *          microseconds
  */
 struct queue_stats {
     struct name queue;
@@ -245,30 +278,42 @@
     double credit;
 };
 
-/** struct broker_service - a service whose upstreams are known here */
+/**
+ * struct broker_service - a service with known upstreams or offered jobs
+ * @queue: waiting jobs, by run_job.queue_key_us
+ * @n_queued: number of jobs in @queue
+ * @late_throughput: work of late jobs that were started lately: moving
+ *                   average, in milli-cores
+ * @shares_updated_us: when the demands and credits of @stats were last updated
+ * @stats: of its queues
+ * @n_stats: number of @stats
+ * @placement_due: capacity or work was added; place tasks in this step
+ * @next_placement_us: when to place tasks anyway
+ */
 struct broker_service {
     struct name name;
     struct run_queue queue;
-    uint32_t n_queued;      /* jobs */
-    double late_throughput; /* work of late jobs started lately, milli-cores */
-    int64_t shares_updated_us; /* when offers and credits were brought up to
-                                  date */
+    uint32_t n_queued;
+    double late_throughput;
+    int64_t shares_updated_us;
     struct queue_stats *stats;
     size_t n_stats;
-    bool placement_due;        /* room or work has come: look again */
-    int64_t next_placement_us; /* or then */
+    bool placement_due;
+    int64_t next_placement_us;
     struct broker_service *next;
 };
 
+/** enum hold_state - whether this broker holds an upstream */
 enum hold_state {
-    HOLD_NONE,   /* another broker's, or nobody's */
-    HOLD_TAKING, /* what runs there is looked at and stopped */
-    HOLD_OPEN,
-    HOLD_UNRESPONSIVE, /* held, but it does not answer */
-    HOLD_LOST,         /* another's; our runs there may not have ended */
+    HOLD_NONE,         /* held by another broker, or by none */
+    HOLD_TAKING,       /* unknown runs are listed and stopped before its use */
+    HOLD_OPEN,         /* held; tasks are placed there */
+    HOLD_UNRESPONSIVE, /* held, but does not answer */
+    HOLD_LOST, /* another broker has a higher fence; runs that were started
+                * by this broker may not have ended */
 };
 
-/** struct placed_task - a task that is, or may be, at an upstream */
+/** struct placed_task - a task that runs, or may run, on an upstream */
 struct placed_task {
     struct handle job;
     uint32_t task;
@@ -276,34 +321,43 @@
 
 /**
  * struct broker_upstream - an upstream
- * @name: first: looked up by it
- * @hash: a number drawn from its name, which orders upstreams alike at all
- *          brokers
- * @born_ms: its life
+ * @name: key of broker.upstreams_by_name; must be the first member
+ * @hash: of the name; all brokers order upstreams by it
+ * @born_ms: its incarnation; 0: not announced yet
  * @sequence: of its last announcement
- * @last_reported_us: when a registry last told of it
- * @holder: the broker that said that it holds it; empty for nobody
- * @fence: with which it is held, or the highest known
- * @last_end: ends up to this number were taken
- * @ack_pending: the upstream has not been told so yet
- * @clock_ms: its clock when it last answered, at @clock_us here
- * @granted_until_us: what it was sent of a lease ends by then, on our clock
- * @leases_end_us: whatever runs there on our leases is over by then
- * @poll: number of the look that is under way; 0 for none
- * @poll_us: when the next one is due; INT64_MAX for none
- * @quick_poll: number of a look beside it that does not wait; 0 for none
- * @quick_poll_due: one is wanted
- * @missed_polls: looks in a row without answer
- * @lost_start_until_us: a start that was not answered may be carried out until
- * then
- * @fenced_view: the view of the brokers when it was lost to a higher fence
- * @used: by the placed tasks
- * @full_until_us: not before that, after it had no room
- * @unknown_runs: it runs what nobody here started, as last seen
+ * @last_reported_us: when a registry last reported it
+ * @leaving: it asked for no new tasks
+ * @gone: it announced that it has ended
+ * @holder: broker that reported to hold it; empty: none
+ * @fence: fence with which it is held, or the highest known
+ * @last_end: number of the last ended run that was processed
+ * @ack_pending: @last_end has not been sent to the upstream yet
+ * @clock_ms: its clock when it last answered
+ * @clock_us: time of that answer on this broker's clock
+ * @granted_until_us: the latest end of a lease that it was sent, on this
+ *                    broker's clock
+ * @leases_end_us: by then every run on leases of this broker has ended, even
+ *                 if the upstream's clock is slow
+ * @poll: number of the poll in progress; 0: none
+ * @poll_us: when the next poll is due; INT64_MAX: none
+ * @quick_poll: number of the quick poll in progress; 0: none
+ * @quick_poll_due: a quick poll is to be sent
+ * @missed_polls: polls in a row without an answer
+ * @lost_start_until_us: it may execute a start that it did not answer until
+ *                       then
+ * @fence_retries: times in a row that it refused the fence while taken
+ * @fenced_view: broker.view when it was lost to a higher fence
+ * @tasks: tasks that run, or may run, there
+ * @n_tasks: number of @tasks
+ * @tasks_capacity: allocated length of @tasks
+ * @used: resources of @tasks
+ * @full_until_us: no start is sent before this, after one was refused for lack
+ *                 of capacity
+ * @unknown_runs: the last poll listed runs that this broker did not start
  * @failures: runs in a row that failed
- * @quarantine_until_us: in quarantine until then; 0 for not
- * @backoff_us: of the quarantine, doubles
- * @slowness: run times over the expected ones, moving mean
+ * @quarantine_until_us: end of the quarantine; 0: not in quarantine
+ * @backoff_us: length of the quarantine, doubled by each further failure
+ * @slowness: run time divided by expected run time, moving mean
  */
 struct broker_upstream {
     struct name name;
@@ -353,28 +407,76 @@
     double slowness;
 };
 
-/** struct broker_call - a call to an upstream that is under way */
+/**
+ * struct broker_call - a call to an upstream that is in progress
+ * @born_ms: incarnation of the upstream when the call was sent
+ * @fence: of the upstream when the call was sent
+ * @job: of the task to start or stop; none when an unknown run is stopped
+ * @task: index of the task in the job
+ * @run: number of the start
+ */
 struct broker_call {
     struct handle self;
     enum lease_call kind;
     struct handle upstream;
     uint64_t born_ms;
     uint64_t fence;
-    struct handle job; /* none where a stranger is stopped */
+    struct handle job;
     uint32_t task;
     uint64_t run;
     int64_t sent_us;
 };
 
+/**
+ * struct broker - state of a broker
+ * @job_lease_us: longest time that a job may run without a renewal, see
+ *                renew_init()
+ * @now: time of the current step
+ * @fx: effects of the current step
+ * @rng: state of broker_random()
+ * @started_us: when it started, or resumed after a pause
+ * @last_step_us: time of the last step
+ * @callers_known_us: all callers that disconnected before this are known
+ * @queues: configuration in force; NULL: none
+ * @config_text: its text
+ * @config_version: its version; 0: none
+ * @self: this process in @peers
+ * @view: incremented whenever the set of brokers that may hold upstreams
+ *        changes
+ * @holders: brokers that should hold upstreams of the zone, set by
+ *           peers_update_holders()
+ * @next_load_us: when the next load report is due
+ * @first_roster_us: when a registry first listed the brokers; 0: not yet
+ * @load_reported: the last load report to the other brokers was not empty
+ * @holds_reported: registries were notified that this broker holds upstreams
+ * @n_unoffered: number of @caller_jobs without a runner
+ * @runners_updated: a load report came since @caller_jobs were last offered
+ * @caller_timers: deadlines of @caller_jobs
+ * @calls: in progress, to upstreams
+ * @discovery_over: as of the last step, the wait for other brokers is over,
+ *                  see broker_options.discovery_us
+ * @review_due: upstreams have to be assigned to holders again
+ * @next_review_us: not before this
+ * @hold_updates: taken and released upstreams, sent at the end of the step
+ * @local_msgs: messages of this process to itself, handled before the step
+ *              ends
+ * @stopping: a planned stop has begun
+ * @draining: it still runs new jobs while stopping, see broker_shutdown.c
+ * @stopped_reported: BE_STOPPED was emitted
+ * @stop_begun_us: when the planned stop began
+ * @ack_mean_us: mean time from a call to its answer, estimated like TCP's
+ *               round-trip time (RFC 6298)
+ * @ack_dev_us: mean deviation from @ack_mean_us
+ */
 struct broker {
     struct broker_options opts;
-    int64_t job_lease_us; /* see renew_init() */
+    int64_t job_lease_us;
     struct moment now;
     struct broker_effects *fx;
     uint64_t rng;
     int64_t started_us;
-    int64_t last_step_us;     /* of the last step */
-    int64_t callers_known_us; /* callers that left before this are known */
+    int64_t last_step_us;
+    int64_t callers_known_us;
 
     struct queueconf *queues;
     struct blob *config_text;
@@ -384,20 +486,18 @@
     struct map peers_by_name;
     struct broker_peer *peers;
     struct broker_peer *self;
-    uint64_t view; /* rises with each change of who may hold upstreams */
-    struct holder_ref *holders; /* as peers_update_holders() found */
+    uint64_t view;
+    struct holder_ref *holders;
     size_t n_holders;
     size_t holders_capacity;
     int64_t next_load_us;
-    int64_t first_roster_us; /* when a registry first told who is there; 0: not
-                                yet */
-    bool load_reported;      /* what the others were told last was not empty */
-    bool
-        holds_reported; /* the registries know that this one holds upstreams */
+    int64_t first_roster_us;
+    bool load_reported;
+    bool holds_reported;
 
     struct table caller_jobs;
-    size_t n_unoffered;   /* of them: without a runner */
-    bool runners_updated; /* somebody told of room since these were offered */
+    size_t n_unoffered;
+    bool runners_updated;
     struct timers caller_timers;
 
     struct table run_jobs;
@@ -406,39 +506,39 @@
     struct table upstreams;
     struct map upstreams_by_name;
     struct table calls;
-    bool discovery_over; /* opts.settle_us have passed, as of the last step */
-    bool review_due;     /* who holds what has to be decided again */
-    int64_t next_review_us; /* not before that */
-    struct rec_held_upstream
-        *hold_updates; /* to be told at the end of the step */
+    bool discovery_over;
+    bool review_due;
+    int64_t next_review_us;
+    struct rec_held_upstream *hold_updates;
     size_t n_hold_updates;
     size_t hold_updates_capacity;
-    struct msg
-        *local_msgs; /* to this process itself, taken before the step ends */
+    struct msg *local_msgs;
     size_t n_local_msgs;
     size_t local_msgs_capacity;
 
     bool stopping;
-    bool draining; /* though it stops, see broker_shutdown.c */
+    bool draining;
     bool stopped_reported;
     int64_t stop_begun_us;
-    int64_t ack_mean_us; /* mean time of an upstream's answer, as TCP reckons
-                          * its retransmission time */
-    int64_t ack_dev_us;  /* mean deviation from it */
+    int64_t ack_mean_us;
+    int64_t ack_dev_us;
     struct broker_counters counters;
     struct broker_histograms histograms;
 };
 
 /* broker.c */
 
-/** broker_random() - next number of the seeded generator, below @n */
+/** broker_random() - pseudo-random number below @n, from the seed of the
+ * options */
 uint64_t broker_random(struct broker *b, uint64_t n);
 
-/** broker_send() - a message to a process; takes over @m.  What it sends to
- * itself it takes at the end of the step. */
+/** broker_send() - sends a message to a process; takes ownership of the
+ * contents of @m.  A message to this process is handled before the step
+ * ends. */
 void broker_send(struct broker *b, struct name to, struct msg *m);
 
-/** broker_log() - a decision; @job 0 and @task -1 where it is about none */
+/** broker_log() - logs a decision; @job is 0 and @task is -1 where the line is
+ * not about one */
 void broker_log(struct broker *b, int severity, enum broker_reason reason,
                 uint64_t job, int32_t task, struct name subject,
                 const char *format, ...) __attribute__((format(printf, 7, 8)));
@@ -470,7 +570,8 @@
 void config_on_reply(struct broker *b, struct name from,
                      const struct rec_config_reply *r);
 
-/** config_registry_lost() - the connection to a registry is gone */
+/** config_registry_lost() - the connection to a registry was lost; abandons a
+ * fetch from it */
 void config_registry_lost(struct broker *b, struct broker_peer *p);
 
 /* broker_peer.c, again */
@@ -501,7 +602,8 @@
 void caller_on_job_end(struct broker *b, struct name from,
                        const struct rec_job_end *e);
 
-/** caller_on_runner_lost() - what was offered to that broker is unknown */
+/** caller_on_runner_lost() - the connection to a runner was lost: its jobs are
+ * answered with an unknown outcome */
 void caller_on_runner_lost(struct broker *b, struct name runner);
 void caller_tick(struct broker *b);
 int64_t caller_next_us(const struct broker *b);
@@ -511,44 +613,49 @@
                   const struct rec_job_offer *o);
 void run_on_drop(struct broker *b, struct name from, uint64_t number);
 
-/** run_on_taker_lost() - nobody waits for that broker's jobs any more */
+/** run_on_taker_lost() - the connection to a taker was lost: its jobs are
+ * dropped */
 void run_on_taker_lost(struct broker *b, struct name taker);
 
-/** run_find_task() - the task a placed one refers to, or NULL */
+/** run_find_task() - the task of a placed task, or NULL; sets *@job */
 struct run_task *run_find_task(struct broker *b, const struct placed_task *p,
                                struct run_job **job);
 
-/** run_mark_started() - a start is sent */
+/** run_mark_started() - updates the job for a start that is being sent */
 void run_mark_started(struct broker *b, struct run_job *job,
                       struct run_task *t, struct broker_upstream *u);
 
-/** run_mark_ready() - a placed task is surely not at its upstream any more and
- * may be started again */
+/** run_mark_ready() - a placed task certainly does not run on its upstream any
+ * more and may be started again; frees a closed job with no task placed */
 void run_mark_ready(struct broker *b, struct run_job *job, struct run_task *t);
 
-/** run_mark_done() - a run ended well */
+/** run_mark_done() - a run succeeded; may free the job */
 void run_mark_done(struct broker *b, struct run_job *job, struct run_task *t);
 
-/** run_mark_failed() - a run failed, by its own fault or its upstream's */
+/** run_mark_failed() - a run failed, by a fault of the task or of its
+ * upstream; may free the job */
 void run_mark_failed(struct broker *b, struct run_job *job,
                      struct run_task *t);
 
-/** run_tick() - places what waits, gives up what is hopeless */
+/** run_tick() - places waiting tasks, refuses waiting jobs that cannot meet
+ * their deadline */
 void run_tick(struct broker *b);
 int64_t run_next_us(const struct broker *b);
 
-/** run_abandon_job() - its taker may still wait, and is told */
+/** run_abandon_job() - ends a job and reports to its taker that its outcome is
+ * unknown, or that it may be run elsewhere if nothing of it was started */
 void run_abandon_job(struct broker *b, struct run_job *job,
                      enum broker_reason reason);
 
-/** run_on_pause() - what ran here is over, and its outcome not known */
+/** run_on_pause() - ends all jobs with an unknown outcome, since this process
+ * was paused for longer than a lease */
 void run_on_pause(struct broker *b);
 
-/** run_return_unstarted() - a stop began: what has not started goes elsewhere
- */
+/** run_return_unstarted() - returns all jobs that have not started to their
+ * takers, which offer them to other runners */
 void run_return_unstarted(struct broker *b);
 
-/** run_get_service() - of that name; made where there is none */
+/** run_get_service() - the service of that name; created if it is unknown */
 struct broker_service *run_get_service(struct broker *b, struct name name);
 
 /** run_task_number() - number of a task in its job, for logs */
@@ -652,52 +759,54 @@
 void order_record_run(struct run_job *job, const struct rec_task_group *g,
                       int64_t ran_us);
 
-/* broker_share.c: @able are milli-cores that all queues share */
+/* broker_share.c: @capacity is in milli-cores, shared by all queues of the
+ * service; @work is in milli-core microseconds */
 
-/** share_update() - brings what is measured up to date */
-void share_update(struct broker *b, struct broker_service *s, double able);
+/** share_update() - updates demand, credits and late throughput to the current
+ * time */
+void share_update(struct broker *b, struct broker_service *s, double capacity);
 
-/** share_add_late_start() - a late job with that much work was started */
+/** share_add_late_start() - counts a late job that was started */
 void share_add_late_start(struct broker_service *s, double work);
 
-/** share_add_demand() - a job with that much work came, whatever becomes of it
- */
+/** share_add_demand() - counts a job that was offered, admitted or not */
 void share_add_demand(struct broker *b, struct broker_service *s,
-                      struct queue_stats *q, double work, double able);
+                      struct queue_stats *q, double work, double capacity);
 
-/** share_total_demand() - milli-cores that what comes in would keep busy */
+/** share_total_demand() - of all queues of the service, in milli-cores */
 double share_total_demand(const struct broker_service *s);
 
-/** share_wait_factor() - how much of its spare time a job of the queue may
- * wait: all of it while the queue has something left of its share, or all that
- * comes in fits; 0 to 1 */
+/** share_wait_factor() - the part of its spare time that a job of the queue
+ * may wait, 0 to 1: all of it while the queue has credit or the demand fits */
 double share_wait_factor(const struct broker_service *s,
-                         const struct queue_stats *q, double able);
+                         const struct queue_stats *q, double capacity);
 
-/** share_spend_credit() - a job of the queue is let in */
+/** share_spend_credit() - a job of the queue was admitted */
 void share_spend_credit(struct queue_stats *q, double work);
 
 /* broker_place.c */
 
-/** place_choose() - the best upstream for a task now, or NULL */
+/** place_choose() - the upstream on which a task should start now, or NULL */
 struct broker_upstream *place_choose(struct broker *b,
                                      const struct run_job *job,
                                      const struct run_task *t);
 
-/** place_awaits_lost_start() - a start of the task that was not answered may
- * still be carried out: it is placed at that upstream, or waits for it */
+/** place_awaits_lost_start() - whether an upstream may still execute a start
+ * of the task that it did not answer: the task can only be placed there */
 bool place_awaits_lost_start(struct broker *b, const struct run_task *t);
 
-/** place_fits_any() - whether any known upstream could ever run such a task */
+/** place_fits_any() - whether a task of the group fits any held upstream when
+ * that is idle */
 bool place_fits_any(struct broker *b, const struct broker_service *s,
                     const struct rec_task_group *g);
 
-/** place_remote_factor() - how much longer such a task takes there for its
- * data */
+/** place_remote_factor() - factor on the run time of a task of the group on
+ * the upstream: 1 near its data, more elsewhere */
 double place_remote_factor(const struct rec_task_group *g,
                            const struct broker_upstream *u);
 
-/** place_expected_us() - run time of such a task there */
+/** place_expected_us() - expected run time of a task of the group on the
+ * upstream */
 int64_t place_expected_us(const struct run_job *job,
                           const struct rec_task_group *g,
                           const struct broker_upstream *u);
@@ -769,6 +878,8 @@
                        const struct run_job *job, const struct run_task *t);
 
 /* broker_answer.c */
+
+/** answer_on_call_end() - handles the answer to a call, or its time-out */
 void answer_on_call_end(struct broker *b, const struct bev_called *c);
 
 /* broker_shutdown.c */
