--- a/tests/broker_load_test.c
+++ b/tests/broker_load_test.c
@@ -1,6 +1,6 @@
-/* Demand near and above what the upstreams can do, replayed in virtual time:
- * three kinds of jobs, 8 tasks of 60 ms, 4 of 900 ms and 2 of 200 ms, each
- * task on about half an upstream. */
+/* Demand near and above the capacity, simulated in virtual time: three kinds
+ * of jobs with 8 tasks of 60 ms, 4 of 900 ms and 2 of 200 ms, each task on
+ * about half an upstream. */
 #include <stdio.h>
 #include <stdlib.h>
 
@@ -10,7 +10,7 @@
 
 #define MSEC USEC_PER_MSEC
 #define SEC USEC_PER_SEC
-#define READY_US (6 * SEC) /* upstreams are known and held by then */
+#define READY_US (6 * SEC) /* all upstreams are held by then */
 
 enum { SHORT, LONG, SMALL, KINDS, UPSTREAMS = 48, SEEDS = 3 };
 
@@ -47,19 +47,19 @@
                .timeout_us = 2500 * MSEC},
 };
 
-/* Shares of what was asked, over several seeds. */
+/* Outcomes relative to the submitted jobs, over several seeds. */
 struct shares {
-    double asked;
+    double submitted;
     double in_time;
     double served;
     double refused;
     double refused_late;
     double unanswered;
-    int64_t retry_us; /* the longest told */
+    int64_t retry_us; /* longest retry time in a refusal */
 };
 
 static struct vlease *
-region(uint64_t seed)
+new_region(uint64_t seed)
 {
     struct vlease_options o = vlease_options_default();
     struct vlease *v;
@@ -81,7 +81,7 @@
 {
     struct vlease_figures f = vlease_figures(v, kind);
 
-    s->asked += f.asked;
+    s->submitted += f.asked;
     s->in_time += f.in_time;
     s->served += f.completed;
     s->refused += f.refused;
@@ -108,27 +108,27 @@
 }
 
 static void
-divide(struct shares shares[KINDS])
+divide_by_submitted(struct shares shares[KINDS])
 {
     for (int k = 0; k < KINDS; k++) {
         struct shares *s = &shares[k];
 
-        s->in_time /= s->asked;
-        s->served /= s->asked;
-        s->refused /= s->asked;
-        s->refused_late /= s->asked;
-        s->unanswered /= s->asked;
+        s->in_time /= s->submitted;
+        s->served /= s->submitted;
+        s->refused /= s->submitted;
+        s->refused_late /= s->submitted;
+        s->unanswered /= s->submitted;
     }
 }
 
-/* Ten seconds at that multiple of a usual load; some upstreams are in trouble
- * for six of them. */
+/* Runs @load times the usual load for 10 s, for each seed; one in @one_in
+ * upstreams has a fault for 6 s of it. */
 static void
-play(double load, enum vlease_trouble trouble, uint32_t one_in,
-     struct shares shares[KINDS])
+run_load(double load, enum vlease_trouble trouble, uint32_t one_in,
+         struct shares shares[KINDS])
 {
     for (uint64_t seed = 1; seed <= SEEDS; seed++) {
-        struct vlease *v = region(seed);
+        struct vlease *v = new_region(seed);
 
         vlease_load(v, load);
         vlease_run(v, READY_US + 2 * SEC);
@@ -143,7 +143,7 @@
         vlease_run(v, READY_US + 10 * SEC);
         finish(v, shares, READY_US + 10 * SEC);
     }
-    divide(shares);
+    divide_by_submitted(shares);
     for (int k = 0; getenv("BM_FIGURES") != NULL && k < KINDS; k++) {
         (void)fprintf(stderr,
                       "kind %d: in time %.3f served %.3f refused %.3f, late "
@@ -154,82 +154,82 @@
     }
 }
 
-/* Nothing is refused for want of room while there is enough. */
+/* No job is refused while the capacity suffices. */
 static void
 usual_load_is_served_in_time(void)
 {
     struct shares s[KINDS] = {0};
 
-    play(1.0, VLEASE_SOUND, 0, s);
+    run_load(1.0, VLEASE_SOUND, 0, s);
     for (int k = 0; k < KINDS; k++) {
         CU_ASSERT_TRUE(s[k].in_time > 0.94);
         CU_ASSERT_TRUE(s[k].served > 0.995);
     }
 }
 
-/* Demand doubles.  Short jobs overtake long ones for as long as these have
- * time left; let in regardless, the long ones wait until they are refused, and
- * their callers, who could have gone elsewhere, have waited for nothing. */
+/* Demand doubles.  Short jobs overtake long ones as long as these have spare
+ * time.  If the long jobs are admitted anyway, they wait and are refused in
+ * the end, when it is too late for their callers to go elsewhere. */
 static void
-each_kind_keeps_its_part_under_overload(void)
+each_kind_keeps_its_share_under_overload(void)
 {
     struct shares s[KINDS] = {0};
 
-    play(2.0, VLEASE_SOUND, 0, s);
+    run_load(2.0, VLEASE_SOUND, 0, s);
     CU_ASSERT_TRUE(s[SHORT].in_time > 0.60);
     CU_ASSERT_TRUE(s[LONG].in_time > 0.58);
     CU_ASSERT_TRUE(s[SMALL].in_time > 0.55);
 }
 
-/* What is refused is refused when it comes.  A caller that is held for seconds
- * and then refused has lost the time in which it could have tried again. */
+/* A refused job is refused on arrival: a caller that waits for seconds and is
+ * then refused has lost the time for a retry. */
 static void
-refusals_come_at_once(void)
+refusals_are_immediate(void)
 {
     struct shares s[KINDS] = {0};
 
-    play(2.0, VLEASE_SOUND, 0, s);
+    run_load(2.0, VLEASE_SOUND, 0, s);
     for (int k = 0; k < KINDS; k++) {
         CU_ASSERT_TRUE(s[k].refused_late < 0.12);
     }
 }
 
-/* Demand doubles for ten seconds.  What is measured says little of the time
- * after the next few; callers that are told to come back in half a minute stay
- * away long after the load has gone. */
+/* Demand doubles for ten seconds.  The measured demand predicts only the next
+ * seconds; with a retry time of half a minute callers would stay away long
+ * after the overload. */
 static void
-refusals_tell_when_to_come_back(void)
+refusals_have_a_bounded_retry_time(void)
 {
     struct shares s[KINDS] = {0};
 
-    play(2.0, VLEASE_SOUND, 0, s);
+    run_load(2.0, VLEASE_SOUND, 0, s);
     for (int k = 0; k < KINDS; k++) {
         CU_ASSERT_TRUE(s[k].retry_us >= 200 * MSEC);
         CU_ASSERT_TRUE(s[k].retry_us <= 7500 * MSEC);
     }
 }
 
-/* A job that waits behind others without room is judged too: its caller gets
- * a refusal, not silence until its deadline. */
+/* A waiting job behind jobs that find no capacity must also be refused when it
+ * cannot be in time, and not stay unanswered until its deadline. */
 static void
 every_waiting_job_is_answered(void)
 {
     struct shares s[KINDS] = {0};
 
-    play(2.5, VLEASE_SOUND, 0, s);
+    run_load(2.5, VLEASE_SOUND, 0, s);
     for (int k = 0; k < KINDS; k++) {
         CU_ASSERT_TRUE(s[k].unanswered < 0.002);
     }
 }
 
-/* A third of the upstreams turns six times slower under a usual load: what can
- * be done falls by more than a quarter, though no processor is missing. */
+/* A third of the upstreams becomes six times slower under a usual load: the
+ * capacity falls by more than a quarter although no processor is missing. */
 static void
-slow_upstreams_count_for_what_they_do(void)
+slow_upstreams_reduce_the_capacity(void)
 {
     struct shares s[KINDS] = {0};
 
-    play(1.2, VLEASE_SLOW, 3, s);
+    run_load(1.2, VLEASE_SLOW, 3, s);
     for (int k = 0; k < KINDS; k++) {
         CU_ASSERT_TRUE(s[k].in_time > 0.55);
         CU_ASSERT_TRUE(s[k].refused_late < 0.10);
@@ -238,23 +238,22 @@
 
 /* A quarter of the upstreams stops answering for six seconds. */
 static void
-mute_upstreams_are_done_without(void)
+load_is_served_without_unresponsive_upstreams(void)
 {
     struct shares s[KINDS] = {0};
 
-    play(1.4, VLEASE_MUTE, 4, s);
+    run_load(1.4, VLEASE_MUTE, 4, s);
     for (int k = 0; k < KINDS; k++) {
         CU_ASSERT_TRUE(s[k].in_time > 0.62);
         CU_ASSERT_TRUE(s[k].refused_late < 0.08);
     }
 }
 
-/* One long job has just taken all room of a region whose tasks fill its
- * upstreams evenly.  A short job that comes then is refused before its caller
- * has waited for nothing; it is no sign of an overload that so little was
- * asked for. */
+/* One long job fills all upstreams of a region.  A short job submitted then
+ * must be refused at once, although the measured demand is too low for an
+ * overload. */
 static void
-filled_region_refuses_at_once(void)
+job_is_refused_when_one_job_fills_the_region(void)
 {
     struct vlease_options o = vlease_options_default();
     struct vlease *v;
@@ -282,13 +281,12 @@
     vlease_free(v);
 }
 
-/* Long tasks have just taken all room, and nothing else comes.  A short job
- * that needs it now will surely not start while its answer is of use; its
- * caller is told so at once. */
+/* Many long jobs fill all upstreams.  A short job submitted then certainly
+ * cannot start in time and must be refused at once. */
 static void
-full_room_refuses_at_once(void)
+job_is_refused_when_long_tasks_fill_the_region(void)
 {
-    struct vlease *v = region(1);
+    struct vlease *v = new_region(1);
     uint64_t job;
 
     for (uint32_t i = 0; i < 2 * UPSTREAMS; i++) {
@@ -301,19 +299,18 @@
     vlease_free(v);
 }
 
-/* No upstream answers any more.  A job that comes then can't be served in any
- * time that is known; its caller is told so at once and does not wait for
- * nothing until its deadline. */
+/* No upstream answers any more.  A job submitted then must be refused at once,
+ * and not wait until its deadline. */
 static void
-jobs_are_refused_where_nothing_answers(void)
+jobs_are_refused_when_no_upstream_answers(void)
 {
-    struct vlease *v = region(1);
+    struct vlease *v = new_region(1);
     uint64_t job;
 
     for (uint32_t i = 0; i < UPSTREAMS; i++) {
         vlease_trouble(v, i, VLEASE_MUTE);
     }
-    vlease_load(v, 0.2); /* calls show that they are mute */
+    vlease_load(v, 0.2); /* so that calls time out */
     vlease_run(v, READY_US + 4 * SEC);
     vlease_load(v, 0);
     job = vlease_submit(v, 0, SHORT);
@@ -322,13 +319,13 @@
     vlease_free(v);
 }
 
-/* All power was lost.  A broker is back, has its configuration and knows of no
- * runner yet; the first is there a moment later.  A caller that comes in
- * between is served, not turned away. */
+/* After a power loss a broker has its configuration but does not know a runner
+ * until a moment later.  A job submitted in between must be served, not
+ * refused. */
 static void
-callers_wait_for_first_runner_after_start(void)
+jobs_wait_for_first_runner_after_start(void)
 {
-    struct vlease *v = region(1);
+    struct vlease *v = new_region(1);
     int64_t now_us = READY_US + SEC;
     uint64_t job;
 
@@ -347,10 +344,10 @@
     vlease_free(v);
 }
 
-/* No runner comes.  The caller is not held for longer than one might have, and
- * the next one, later, is told at once. */
+/* There is no runner.  A job submitted during the startup wait is refused when
+ * that ends, a later job at once. */
 static void
-callers_do_not_wait_for_runners_that_are_not_expected(void)
+jobs_do_not_wait_for_unexpected_runners(void)
 {
     struct vlease_options o = vlease_options_default();
     struct vlease *v;
@@ -371,8 +368,7 @@
     vlease_free(v);
 }
 
-/* A job that can't be in time any more, has begun, and has a task left that
- * finds no room. */
+/* Queues a late, started job with one ready task that no upstream can take. */
 static void
 queue_late_job(struct broker *b)
 {
@@ -400,10 +396,10 @@
     order_insert(job);
 }
 
-/* Two late jobs that must start by the same moment and find no room: each put
- * behind the other in turn, the step of a broker never ended. */
+/* Two late jobs with the same latest start find no capacity.  They were
+ * re-queued behind each other in turn, and the step never ended. */
 static void
-late_jobs_of_one_moment_end_the_step(void)
+late_jobs_with_equal_start_end_the_step(void)
 {
     struct broker_options o = broker_options_default();
     struct broker_event tick = {.kind = BEV_TICK, .now = {.mono_us = SEC}};
@@ -425,17 +421,17 @@
 {
 #define TEST(name) check_add("broker_load", #name, name)
     TEST(usual_load_is_served_in_time);
-    TEST(each_kind_keeps_its_part_under_overload);
-    TEST(refusals_come_at_once);
-    TEST(refusals_tell_when_to_come_back);
+    TEST(each_kind_keeps_its_share_under_overload);
+    TEST(refusals_are_immediate);
+    TEST(refusals_have_a_bounded_retry_time);
     TEST(every_waiting_job_is_answered);
-    TEST(slow_upstreams_count_for_what_they_do);
-    TEST(mute_upstreams_are_done_without);
-    TEST(filled_region_refuses_at_once);
-    TEST(full_room_refuses_at_once);
-    TEST(jobs_are_refused_where_nothing_answers);
-    TEST(late_jobs_of_one_moment_end_the_step);
-    TEST(callers_wait_for_first_runner_after_start);
-    TEST(callers_do_not_wait_for_runners_that_are_not_expected);
+    TEST(slow_upstreams_reduce_the_capacity);
+    TEST(load_is_served_without_unresponsive_upstreams);
+    TEST(job_is_refused_when_one_job_fills_the_region);
+    TEST(job_is_refused_when_long_tasks_fill_the_region);
+    TEST(jobs_are_refused_when_no_upstream_answers);
+    TEST(late_jobs_with_equal_start_end_the_step);
+    TEST(jobs_wait_for_first_runner_after_start);
+    TEST(jobs_do_not_wait_for_unexpected_runners);
 #undef TEST
 }
--- a/tests/broker_scale_test.c
+++ b/tests/broker_scale_test.c
@@ -1,5 +1,5 @@
-/* One broker among many others: what it sends them, and whom it offers jobs
- * to. */
+/* One broker among many others: the messages that it sends, the upstreams that
+ * it takes, and the runners that it offers jobs to. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -22,7 +22,7 @@
                                         .stretch = 1.6};
 
 static struct queueconf *
-one_queue(const char *text, size_t size, enum queueconf_fault *fault)
+read_one_queue(const char *text, size_t size, enum queueconf_fault *fault)
 {
     struct queueconf *c = calloc(1, sizeof(*c));
 
@@ -37,21 +37,28 @@
     return c;
 }
 
-/* A broker, and what it sent in its last steps. */
-struct one {
+/*
+ * struct test_broker - a broker, and what it has sent
+ * @loads: load reports
+ * @introductions: introductions after the first
+ * @hold_messages: messages with taken or released upstreams
+ * @holds: whether it holds upstreams, by its last introduction
+ * @poll: number of its last poll of an upstream
+ * @jobs: offered jobs, by number of the peer; NULL: not counted
+ */
+struct test_broker {
     struct broker *broker;
     int64_t now_us;
-    size_t loads;      /* messages with its load */
-    size_t words;      /* introductions after the first */
-    size_t holds_told; /* messages with what it took or let go */
-    bool holds;        /* as the last introduction said */
-    uint64_t look;     /* number of the last look */
-    uint32_t
-        *jobs; /* offered, by number of the broker; NULL for not counted */
+    size_t loads;
+    size_t introductions;
+    size_t hold_messages;
+    bool holds;
+    uint64_t poll;
+    uint32_t *jobs;
 };
 
 static struct name
-numbered(size_t n)
+peer_name(size_t n)
 {
     struct name name = {0};
 
@@ -60,17 +67,17 @@
 }
 
 static void
-count(struct one *o, const struct be_send *s)
+count_message(struct test_broker *o, const struct be_send *s)
 {
     if (s->msg.kind == MSG_BROKER_LOAD) {
         o->loads++;
     }
     else if (s->msg.kind == MSG_UPSTREAM_HOLDS) {
-        o->holds_told++;
+        o->hold_messages++;
     }
     else if (s->msg.kind == MSG_INTRODUCTION &&
              s->msg.u.introduction.again != 0) {
-        o->words++;
+        o->introductions++;
         o->holds = s->msg.u.introduction.holds != 0;
     }
     else if (s->msg.kind == MSG_JOB_OFFER && o->jobs != NULL) {
@@ -79,7 +86,7 @@
 }
 
 static void
-step(struct one *o, struct broker_event *ev)
+step(struct test_broker *o, struct broker_event *ev)
 {
     struct broker_effects fx = {0};
 
@@ -89,17 +96,17 @@
         const struct broker_effect *f = &fx.items[i];
 
         if (f->kind == BE_SEND) {
-            count(o, &f->u.send);
+            count_message(o, &f->u.send);
         }
         else if (f->kind == BE_CALL && f->u.call.request.kind == LEASE_POLL) {
-            o->look = f->u.call.call;
+            o->poll = f->u.call.call;
         }
     }
     broker_effects_free(&fx);
 }
 
 static void
-message(struct one *o, struct name from, struct msg *m)
+receive(struct test_broker *o, struct name from, struct msg *m)
 {
     struct broker_event ev = {.kind = BEV_MESSAGE};
 
@@ -109,7 +116,7 @@
 }
 
 static void
-run_until(struct one *o, int64_t us)
+run_until(struct test_broker *o, int64_t us)
 {
     while (broker_next_us(o->broker) <= us) {
         int64_t next = broker_next_us(o->broker);
@@ -121,7 +128,7 @@
 }
 
 static void
-peer_up(struct one *o, struct name to)
+peer_up(struct test_broker *o, struct name to)
 {
     struct broker_event ev = {.kind = BEV_PEER};
 
@@ -130,20 +137,21 @@
     step(o, &ev);
 }
 
-/* With @others of its zone connected, which started one by one from 2 on. */
-static struct one
-started_at(uint64_t incarnation, size_t others)
+/* Starts a broker with @others of its zone connected, of the incarnations 2, 3
+ * and so on. */
+static struct test_broker
+start_broker(uint64_t incarnation, size_t others)
 {
     struct broker_options opts = broker_options_default();
     struct rec_instance registry = {.name = name_of("registry")};
-    struct one o = {.now_us = SEC};
+    struct test_broker o = {.now_us = SEC};
 
     opts.self = name_of("self");
     opts.zone = name_of("zone");
     opts.incarnation = incarnation;
     opts.registries = &registry;
     opts.n_registries = 1;
-    opts.read_config = one_queue;
+    opts.read_config = read_one_queue;
     o.broker = broker_new(&opts);
     peer_up(&o, registry.name);
     for (size_t i = 0; i < others; i++) {
@@ -151,24 +159,24 @@
 
         m.u.introduction.zone = name_of("zone");
         m.u.introduction.incarnation = 2 + i;
-        peer_up(&o, numbered(i));
-        message(&o, numbered(i), &m);
+        peer_up(&o, peer_name(i));
+        receive(&o, peer_name(i), &m);
     }
     run_until(&o, 4 * SEC);
     return o;
 }
 
-/* The oldest of its zone. */
-static struct one
-among(size_t others)
+/* The oldest broker of a zone becomes the first holder. */
+static struct test_broker
+start_oldest_broker(size_t others)
 {
-    return started_at(1, others);
+    return start_broker(1, others);
 }
 
-/* An upstream announces itself, and answers the look with which it is taken.
+/* Announces an upstream, and answers the poll that the broker takes it with.
  */
 static void
-hold_one(struct one *o)
+take_one_upstream(struct test_broker *o)
 {
     struct rec_leased_upstream u = {.born_ms = 1,
                                     .sequence = 1,
@@ -184,9 +192,9 @@
     u.address = address_of("127.0.0.1:1");
     m.u.upstream_report.upstreams = &u;
     m.u.upstream_report.n_upstreams = 1;
-    message(o, name_of("registry"), &m);
+    receive(o, name_of("registry"), &m);
     run_until(o, o->now_us + 10 * MSEC);
-    ev.u.called.call = o->look;
+    ev.u.called.call = o->poll;
     ev.u.called.answer.result = LEASE_OK;
     ev.u.called.answer.clock_ms = 1;
     ev.u.called.answer.born_ms = 1;
@@ -194,17 +202,16 @@
     CU_ASSERT_EQUAL(broker_gauges(o->broker).upstreams_open, 1);
 }
 
-/* A zone has a hundred brokers, and each that holds upstreams tells all others
- * twenty times a second what room it has.  The reports alone would take more
- * of a small machine's processor than the jobs; callers would see their
- * answers come late. */
+/* In a zone of 100 brokers each holder reports its load to all others, every
+ * 50 ms if they are few.  At that rate the reports would take more processor
+ * time of a small machine than the jobs, and delay the answers. */
 static void
-reports_of_load_are_bounded(void)
+load_reports_are_limited_per_second(void)
 {
-    struct one o = among(100);
+    struct test_broker o = start_oldest_broker(100);
     size_t per_s;
 
-    hold_one(&o);
+    take_one_upstream(&o);
     run_until(&o, 6 * SEC);
     o.loads = 0;
     run_until(&o, 16 * SEC);
@@ -214,43 +221,43 @@
     broker_free(o.broker);
 }
 
-/* With few others the reports come as often as they may. */
+/* With few other brokers the interval is the shortest one. */
 static void
-few_hear_of_load_often(void)
+few_peers_get_frequent_load_reports(void)
 {
-    struct one o = among(5);
+    struct test_broker o = start_oldest_broker(5);
 
-    hold_one(&o);
+    take_one_upstream(&o);
     run_until(&o, 6 * SEC);
     o.loads = 0;
     run_until(&o, 16 * SEC);
-    CU_ASSERT_TRUE(o.loads >= 900); /* five others, 18 times a second */
+    CU_ASSERT_TRUE(o.loads >= 900); /* 5 peers, 18 reports a second */
     broker_free(o.broker);
 }
 
-/* Other zones learn of those that run jobs from registries.  One that does not
- * say that it began to gets none of their jobs. */
+/* Other zones learn from registries which brokers hold upstreams.  A holder
+ * that does not notify the registries gets no jobs from other zones. */
 static void
-registries_learn_who_holds(void)
+registries_are_notified_of_holders(void)
 {
-    struct one o = among(2);
+    struct test_broker o = start_oldest_broker(2);
 
-    CU_ASSERT_EQUAL(o.words, 0);
-    hold_one(&o);
+    CU_ASSERT_EQUAL(o.introductions, 0);
+    take_one_upstream(&o);
     run_until(&o, 6 * SEC);
-    CU_ASSERT_EQUAL(o.words, 1);
+    CU_ASSERT_EQUAL(o.introductions, 1);
     CU_ASSERT_TRUE(o.holds);
     broker_free(o.broker);
 }
 
-/* A broker starts among a hundred others and takes 32 upstreams.  Told one by
- * one that would be 3,200 messages, and 90 brokers do so at once when a region
- * starts; callers would wait for seconds until it serves. */
+/* A broker starts among 100 others and takes 32 upstreams.  One message for
+ * each would be 3,200 messages; 90 brokers do so at once when a region starts,
+ * and callers would wait for seconds. */
 static void
-what_is_taken_is_told_together(void)
+taken_upstreams_are_reported_together(void)
 {
     enum { OTHERS = 100, TAKEN = 32 };
-    struct one o = among(OTHERS);
+    struct test_broker o = start_oldest_broker(OTHERS);
     struct rec_leased_upstream u[TAKEN];
     struct msg m = {.kind = MSG_UPSTREAM_REPORT};
 
@@ -265,23 +272,23 @@
     }
     m.u.upstream_report.upstreams = u;
     m.u.upstream_report.n_upstreams = TAKEN;
-    o.holds_told = 0;
-    message(&o, name_of("registry"), &m);
+    o.hold_messages = 0;
+    receive(&o, name_of("registry"), &m);
     run_until(&o, o.now_us + 100 * MSEC);
     CU_ASSERT_EQUAL(broker_gauges(o.broker).upstreams_held, TAKEN);
-    CU_ASSERT_EQUAL(o.holds_told, OTHERS);
+    CU_ASSERT_EQUAL(o.hold_messages, OTHERS);
     broker_free(o.broker);
 }
 
 /* Upstreams are replaced again and again, each under a new name.  A broker
- * that holds none of them and remembers all counts ever more, believes that
- * the zone needs more holders than the others do, and begins to take upstreams
- * that they hold; runs of both are stopped, and callers wait. */
+ * that never forgets the old ones computes more holders than the other brokers
+ * do and takes upstreams that these hold: runs are stopped, and callers wait.
+ */
 static void
 replaced_upstreams_are_forgotten(void)
 {
     enum { REPLACED = 200 };
-    struct one o = started_at(100, 3);
+    struct test_broker o = start_broker(100, 3);
     struct rec_leased_upstream u = {.born_ms = 1, .sequence = 1};
     struct msg m = {.kind = MSG_UPSTREAM_REPORT};
 
@@ -292,7 +299,7 @@
     m.u.upstream_report.n_upstreams = 1;
     for (size_t i = 0; i < REPLACED; i++) {
         (void)snprintf(u.upstream.s, sizeof(u.upstream.s), "u-%zu", i);
-        message(&o, name_of("registry"), &m);
+        receive(&o, name_of("registry"), &m);
         run_until(&o, o.now_us + SEC);
     }
     CU_ASSERT_TRUE(broker_gauges(o.broker).upstreams_known < REPLACED / 2);
@@ -301,7 +308,7 @@
 }
 
 static void
-submit(struct one *o, uint64_t id)
+submit(struct test_broker *o, uint64_t id)
 {
     struct rec_task_group group = {
         .count = 4, .cpu_milli = 1000, .declared_us = 60 * MSEC};
@@ -318,24 +325,24 @@
 }
 
 static void
-configure(struct one *o)
+configure(struct test_broker *o)
 {
     struct msg m = {.kind = MSG_CONFIG_REPLY};
 
     m.u.config_reply.version = 1;
     m.u.config_reply.config = blob_new("x", 1);
-    message(o, name_of("registry"), &m);
+    receive(o, name_of("registry"), &m);
     blob_unref(m.u.config_reply.config);
 }
 
-/* Eight runners of the zone tell that they have room.  If each broker sent its
- * jobs to the first of them until the next report, ninety brokers would send
- * to the same one; it would be full while the others idle. */
+/* Eight runners of the zone report the same free capacity.  If brokers sent
+ * all jobs to the first one until the next report, 90 brokers would overload
+ * it while the other runners are idle. */
 static void
-runners_with_room_share_jobs(void)
+runners_with_capacity_share_jobs(void)
 {
     enum { RUNNERS = 8, JOBS = 160 };
-    struct one o = among(RUNNERS);
+    struct test_broker o = start_oldest_broker(RUNNERS);
     uint32_t jobs[RUNNERS] = {0};
 
     configure(&o);
@@ -348,7 +355,7 @@
 
         m.u.broker_load.services = &load;
         m.u.broker_load.n_services = 1;
-        message(&o, numbered(i), &m);
+        receive(&o, peer_name(i), &m);
     }
     o.jobs = jobs;
     for (uint64_t i = 1; i <= JOBS; i++) {
@@ -362,7 +369,7 @@
 }
 
 static uint64_t
-taken_in(const struct vlease *v, uint32_t brokers)
+total_taken(const struct vlease *v, uint32_t brokers)
 {
     uint64_t n = 0;
 
@@ -374,11 +381,11 @@
     return n;
 }
 
-/* One of three holders of a zone stops.  If the others' upstreams change hands
- * too, each drains its own first, and most of the zone's room stands idle at
- * every planned stop. */
+/* One of three holders of a zone stops.  If upstreams of the other holders
+ * were reassigned as well, these would first be drained, and most of the
+ * zone's capacity would be idle at every planned stop. */
 static void
-a_stop_moves_only_what_the_stopped_one_held(void)
+stop_reassigns_only_what_the_stopped_broker_held(void)
 {
     enum { BROKERS = 10, HELD = 74, HOLDERS = 3 };
     struct vlease_options o = vlease_options_default();
@@ -395,18 +402,18 @@
     for (uint32_t i = 0; i < HOLDERS; i++) {
         held = broker_gauges(vlease_broker(v, i)).upstreams_held;
         CU_ASSERT_TRUE(held >= HELD / HOLDERS - 1);
-        before = taken_in(v, BROKERS);
+        before = total_taken(v, BROKERS);
         vlease_stop(v, i);
         vlease_run(v, (7 + i) * SEC);
         CU_ASSERT_EQUAL(vlease_open(v), HELD);
-        CU_ASSERT_EQUAL(taken_in(v, BROKERS) - before, held);
+        CU_ASSERT_EQUAL(total_taken(v, BROKERS) - before, held);
     }
     vlease_free(v);
 }
 
-/* A holder that was cut off claims what was taken from it since.  Brokers that
- * believe it let go of what they run, and callers wait for upstreams that
- * nobody uses. */
+/* A holder that was disconnected claims upstreams that other brokers have
+ * taken since.  If these brokers released them, the upstreams would stay
+ * unused while callers wait. */
 static void
 stale_claims_leave_no_upstream_unused(void)
 {
@@ -438,10 +445,10 @@
     return held;
 }
 
-/* Two of three holders took over what the third had.  When it is back and
- * nothing moves, two small machines go on doing the work of three. */
+/* Two of three holders took over the upstreams of the third.  When it is back,
+ * it must get some again, or two small machines keep the load of three. */
 static void
-surplus_goes_to_a_holder_without(void)
+surplus_goes_to_new_holder(void)
 {
     enum { ITEMS = 60, HOLDERS = 3 };
     struct assign_item items[ITEMS] = {0};
@@ -461,14 +468,14 @@
 suite_broker_scale(void)
 {
 #define TEST(name) check_add("broker_scale", #name, name)
-    TEST(reports_of_load_are_bounded);
-    TEST(few_hear_of_load_often);
-    TEST(registries_learn_who_holds);
-    TEST(what_is_taken_is_told_together);
+    TEST(load_reports_are_limited_per_second);
+    TEST(few_peers_get_frequent_load_reports);
+    TEST(registries_are_notified_of_holders);
+    TEST(taken_upstreams_are_reported_together);
     TEST(replaced_upstreams_are_forgotten);
-    TEST(runners_with_room_share_jobs);
-    TEST(a_stop_moves_only_what_the_stopped_one_held);
+    TEST(runners_with_capacity_share_jobs);
+    TEST(stop_reassigns_only_what_the_stopped_broker_held);
     TEST(stale_claims_leave_no_upstream_unused);
-    TEST(surplus_goes_to_a_holder_without);
+    TEST(surplus_goes_to_new_holder);
 #undef TEST
 }
--- a/tests/broker_test.c
+++ b/tests/broker_test.c
@@ -1,4 +1,5 @@
-/* Brokers, registries and leased upstreams together, in virtual time. */
+/* Brokers, registries and upstreams under leases, simulated in virtual time.
+ */
 #include <stdio.h>
 #include <stdlib.h>
 
@@ -7,10 +8,10 @@
 
 #define MSEC USEC_PER_MSEC
 #define SEC USEC_PER_SEC
-#define READY_US (6 * SEC) /* upstreams are known and held by then */
+#define READY_US (6 * SEC) /* all upstreams are held by then */
 
 static struct vlease *
-calm_region(uint64_t seed)
+new_region(uint64_t seed)
 {
     struct vlease_options o = vlease_options_default();
     struct vlease *v;
@@ -25,7 +26,7 @@
 }
 
 static void
-assert_no_fault(const struct vlease *v)
+assert_no_faults(const struct vlease *v)
 {
     struct vlease_faults f = vlease_faults(v);
 
@@ -36,26 +37,26 @@
     CU_ASSERT_EQUAL(f.answers_twice, 0);
 }
 
-/* Load stops, and everything comes to its end. */
+/* Ends the load and waits until no task runs and all jobs are answered. */
 static void
-settle(struct vlease *v, int64_t now_us)
+drain_load(struct vlease *v, int64_t now_us)
 {
     vlease_load(v, 0);
     vlease_run(v, now_us + 12 * SEC);
     CU_ASSERT_EQUAL(vlease_running(v), 0);
     CU_ASSERT_EQUAL(vlease_figures(v, 0).open, 0);
-    assert_no_fault(v);
+    assert_no_faults(v);
 }
 
 static void
-calm_jobs_are_in_time(void)
+jobs_are_in_time_without_faults(void)
 {
-    struct vlease *v = calm_region(1);
+    struct vlease *v = new_region(1);
     struct vlease_figures f;
 
     vlease_load(v, 1);
     vlease_run(v, READY_US + 10 * SEC);
-    settle(v, READY_US + 10 * SEC);
+    drain_load(v, READY_US + 10 * SEC);
     f = vlease_figures(v, 0);
     CU_ASSERT_TRUE(f.asked > 500);
     CU_ASSERT_EQUAL(f.completed, f.asked);
@@ -64,14 +65,13 @@
     vlease_free(v);
 }
 
-/* All brokers of a region come back after a power loss while its upstreams are
- * there already and announce nothing new.  Nobody speaks when the time to
- * settle is over; a broker that waited for the next message to take its
- * upstreams refused every job for as long as none came. */
+/* All brokers of a region restart while its upstreams are already announced,
+ * so no message arrives at the end of the discovery time.  A broker that took
+ * its upstreams only at the next message refused all jobs until then. */
 static void
-region_restarts_among_known_upstreams(void)
+restarted_region_takes_known_upstreams(void)
 {
-    struct vlease *v = calm_region(2);
+    struct vlease *v = new_region(2);
     uint64_t job;
 
     for (uint32_t i = 0; i < 6; i++) {
@@ -85,13 +85,13 @@
     job = vlease_submit(v, 0, 0);
     vlease_run(v, READY_US + 6 * SEC);
     CU_ASSERT_EQUAL(vlease_outcome(v, job), JOB_COMPLETED_OUTCOME);
-    settle(v, READY_US + 6 * SEC);
+    drain_load(v, READY_US + 6 * SEC);
     vlease_free(v);
 }
 
-/* How many upstreams are in use a second after power is back. */
+/* Number of open upstreams 0.7 s after power is back. */
 static uint32_t
-open_after_power_loss(struct vlease *v, bool remember)
+open_upstreams_after_power_loss(struct vlease *v, bool remember)
 {
     vlease_lose_power(v);
     vlease_run(v, READY_US + 2 * SEC);
@@ -100,47 +100,48 @@
     return vlease_open(v);
 }
 
-/* All machines of the system lose power; the upstreams go on.  Each announces
- * itself every second and a half: brokers that wait for that turn callers away
- * beside idle upstreams.  The registries' disks remember who was there. */
+/* All brokers and registries lose power while the upstreams continue.  An
+ * upstream announces itself every 1.5 s; brokers that wait for the
+ * announcement refuse jobs while upstreams are idle.  The registries therefore
+ * store the known upstreams on disk. */
 static void
-power_comes_back_among_remembered_upstreams(void)
+stored_upstreams_are_used_soon_after_power_loss(void)
 {
     for (uint64_t seed = 400; seed < 405; seed++) {
-        struct vlease *v = calm_region(seed);
+        struct vlease *v = new_region(seed);
 
-        CU_ASSERT_EQUAL(open_after_power_loss(v, true), 24);
+        CU_ASSERT_EQUAL(open_upstreams_after_power_loss(v, true), 24);
         vlease_load(v, 1);
         vlease_run(v, READY_US + 6 * SEC);
-        settle(v, READY_US + 6 * SEC);
+        drain_load(v, READY_US + 6 * SEC);
         CU_ASSERT_EQUAL(vlease_figures(v, 0).completed,
                         vlease_figures(v, 0).asked);
         vlease_free(v);
     }
 }
 
-/* The same with the registries' disks lost: it takes as long as before, and
- * nothing else. */
+/* The same with the registries' disks lost: the upstreams are taken as soon as
+ * they announce themselves. */
 static void
-power_comes_back_with_empty_disks(void)
+power_loss_with_lost_registry_disks(void)
 {
-    struct vlease *v = calm_region(410);
+    struct vlease *v = new_region(410);
 
-    CU_ASSERT_TRUE(open_after_power_loss(v, false) < 24);
+    CU_ASSERT_TRUE(open_upstreams_after_power_loss(v, false) < 24);
     vlease_run(v, READY_US + 5 * SEC);
     CU_ASSERT_EQUAL(vlease_open(v), 24);
-    settle(v, READY_US + 5 * SEC);
+    drain_load(v, READY_US + 5 * SEC);
     vlease_free(v);
 }
 
-/* While the power is off, some of the upstreams that the disks remember die,
- * others start anew and run nothing, others are cut off and run on.  Work that
- * is placed on the word of the disk would fail, or run twice. */
+/* While the power is off, some of the stored upstreams die, some restart, some
+ * are disconnected but keep running tasks, and some leave.  Tasks placed only
+ * because of the stored state would fail or run twice. */
 static void
-remembered_upstreams_have_changed(void)
+stored_upstreams_changed_during_power_loss(void)
 {
     for (uint64_t seed = 420; seed < 430; seed++) {
-        struct vlease *v = calm_region(seed);
+        struct vlease *v = new_region(seed);
 
         vlease_load(v, 1);
         vlease_run(v, READY_US + 1 * SEC);
@@ -154,16 +155,16 @@
         vlease_run(v, READY_US + 1300 * MSEC);
         vlease_regain_power(v, true);
         vlease_run(v, READY_US + 8 * SEC);
-        settle(v, READY_US + 8 * SEC);
+        drain_load(v, READY_US + 8 * SEC);
         vlease_free(v);
     }
 }
 
-/* Both brokers of a zone are stopped as planned, one a second after the other,
- * before the first is back.  Were the upstreams let go, all callers of the
- * zone would be refused beside idle upstreams until then. */
+/* Both brokers of a zone are stopped, the second before the first is back.  If
+ * the second released its upstreams, jobs would be refused until a broker is
+ * back, although the upstreams are idle. */
 static void
-last_broker_of_a_zone_goes_on_until_another_is_back(void)
+last_stopping_broker_of_a_zone_keeps_serving(void)
 {
     struct vlease_options o = vlease_options_default();
     struct vlease *v;
@@ -187,17 +188,17 @@
     vlease_run(v, READY_US + 7 * SEC);
     CU_ASSERT_TRUE(vlease_stopped(v, 0));
     CU_ASSERT_TRUE(vlease_stopped(v, 1));
-    settle(v, READY_US + 7 * SEC);
+    drain_load(v, READY_US + 7 * SEC);
     vlease_free(v);
 }
 
-/* The same with the first back while the second still goes on: it gives its
- * upstreams to the one that is back, and nothing runs twice. */
+/* The same, but the first broker is back while the second still serves: the
+ * second hands its upstreams over, and no two runs of a task overlap. */
 static void
-lingering_broker_gives_way_to_one_that_is_back(void)
+draining_broker_hands_over_to_restarted_broker(void)
 {
     for (uint64_t seed = 440; seed < 448; seed++) {
-        struct vlease *v = calm_region(seed);
+        struct vlease *v = new_region(seed);
         struct vlease_figures f;
 
         vlease_load(v, 1);
@@ -211,21 +212,21 @@
         vlease_kill(v, 0);
         vlease_start(v, 0);
         vlease_run(v, READY_US + 9 * SEC);
-        settle(v, READY_US + 9 * SEC);
+        drain_load(v, READY_US + 9 * SEC);
         f = vlease_figures(v, 0);
         CU_ASSERT_TRUE(f.completed * 50 > f.asked * 49);
         vlease_free(v);
     }
 }
 
-/* The broker that runs a caller's job dies.  Its runs go on at the upstreams
- * until their lease passes or the next holder stops them; the caller hands its
- * job in again meanwhile, and two runs of a task must not overlap. */
+/* A runner is killed.  Its runs continue on the upstreams until their lease
+ * expires or the next holder stops them, and callers resubmit their jobs
+ * meanwhile.  Two runs of a task must not overlap. */
 static void
-runner_dies_and_its_jobs_come_again(void)
+jobs_of_killed_runner_are_resubmitted(void)
 {
     for (uint64_t seed = 10; seed < 20; seed++) {
-        struct vlease *v = calm_region(seed);
+        struct vlease *v = new_region(seed);
         struct vlease_figures f;
 
         vlease_load(v, 1);
@@ -234,37 +235,38 @@
         vlease_run(v, READY_US + 6 * SEC);
         vlease_start(v, (uint32_t)(seed % 6));
         vlease_run(v, READY_US + 10 * SEC);
-        settle(v, READY_US + 10 * SEC);
+        drain_load(v, READY_US + 10 * SEC);
         f = vlease_figures(v, 0);
         CU_ASSERT_TRUE(f.completed * 10 > f.asked * 9);
         vlease_free(v);
     }
 }
 
-/* A machine is paused for longer than a lease.  When the broker on it wakes,
- * others hold its upstreams; what it still believes must not reach them. */
+/* A broker is paused for longer than a lease.  When it resumes, other brokers
+ * hold its upstreams, and it must not act on its outdated state. */
 static void
-paused_broker_wakes_as_nobody(void)
+paused_broker_gives_up_its_upstreams(void)
 {
     for (uint64_t seed = 30; seed < 40; seed++) {
-        struct vlease *v = calm_region(seed);
+        struct vlease *v = new_region(seed);
 
         vlease_load(v, 1);
         vlease_run(v, READY_US + 2 * SEC);
         vlease_pause(v, (uint32_t)(seed % 6), 4 * SEC);
         vlease_run(v, READY_US + 12 * SEC);
-        settle(v, READY_US + 12 * SEC);
+        drain_load(v, READY_US + 12 * SEC);
         vlease_free(v);
     }
 }
 
-/* A broker is cut off from all others but still reaches its upstreams, or
- * loses both.  Two brokers then believe that they hold the same ones. */
+/* A broker is disconnected from all other brokers, in half of the runs from
+ * its upstreams as well.  Two brokers then consider the same upstreams their
+ * own. */
 static void
-cut_off_broker_and_its_successor(void)
+disconnected_broker_and_its_successor(void)
 {
     for (uint64_t seed = 50; seed < 62; seed++) {
-        struct vlease *v = calm_region(seed);
+        struct vlease *v = new_region(seed);
         uint32_t broker = (uint32_t)(seed % 6);
 
         vlease_load(v, 1);
@@ -273,17 +275,17 @@
         vlease_run(v, READY_US + 7 * SEC);
         vlease_cut(v, broker, false, false);
         vlease_run(v, READY_US + 12 * SEC);
-        settle(v, READY_US + 12 * SEC);
+        drain_load(v, READY_US + 12 * SEC);
         vlease_free(v);
     }
 }
 
-/* Connections between two brokers are reset again and again; offers and
- * outcomes that were under way are lost, and both ends are still there. */
+/* Connections between brokers are reset repeatedly: offers and outcomes in
+ * transit are lost while both brokers keep running. */
 static void
 offers_lost_with_a_connection(void)
 {
-    struct vlease *v = calm_region(70);
+    struct vlease *v = new_region(70);
 
     vlease_load(v, 1);
     for (int i = 0; i < 40; i++) {
@@ -291,18 +293,18 @@
         vlease_gap(v, (uint32_t)(i % 2), (uint32_t)(i % 4 + 2));
     }
     vlease_run(v, READY_US + 6 * SEC);
-    settle(v, READY_US + 6 * SEC);
+    drain_load(v, READY_US + 6 * SEC);
     vlease_free(v);
 }
 
-/* An upstream carries out a tenth of its orders three seconds later, without
- * an answer.  A task whose start was lost is placed elsewhere; the late start
- * must meet a deadline that has passed, or a run that was stopped. */
+/* Upstreams execute a tenth of the calls three seconds late and do not answer
+ * them.  The task of a lost start is placed elsewhere; the late start must be
+ * refused because its deadline has passed or its run was stopped. */
 static void
-late_orders_start_nothing_twice(void)
+late_starts_do_not_overlap(void)
 {
     for (uint64_t seed = 80; seed < 86; seed++) {
-        struct vlease *v = calm_region(seed);
+        struct vlease *v = new_region(seed);
 
         vlease_load(v, 1);
         for (uint32_t i = 0; i < 24; i += 2) {
@@ -313,21 +315,22 @@
             vlease_trouble(v, i, VLEASE_SOUND);
         }
         vlease_run(v, READY_US + 14 * SEC);
-        settle(v, READY_US + 14 * SEC);
+        drain_load(v, READY_US + 14 * SEC);
         vlease_free(v);
     }
 }
 
-/* An upstream stops answering, or is cut off and runs on.  Its tasks are
- * placed elsewhere when their lease has surely passed, not before. */
+/* Upstreams stop answering, are disconnected but keep running, or die.  Their
+ * tasks may be placed elsewhere only after their lease has certainly
+ * expired. */
 static void
-silent_upstream_runs_on(void)
+tasks_of_silent_upstream_wait_for_lease_end(void)
 {
     static const enum vlease_trouble troubles[] = {VLEASE_MUTE, VLEASE_CUT,
                                                    VLEASE_DEAD};
 
     for (uint64_t seed = 90; seed < 99; seed++) {
-        struct vlease *v = calm_region(seed);
+        struct vlease *v = new_region(seed);
 
         vlease_load(v, 1);
         vlease_run(v, READY_US + 2 * SEC);
@@ -339,18 +342,18 @@
             vlease_trouble(v, i, VLEASE_SOUND);
         }
         vlease_run(v, READY_US + 12 * SEC);
-        settle(v, READY_US + 12 * SEC);
+        drain_load(v, READY_US + 12 * SEC);
         vlease_free(v);
     }
 }
 
-/* An upstream starts anew under its name: nothing of before runs there, its
- * clock and fence start again, and orders of before may still arrive. */
+/* Upstreams restart under their names: their runs are gone, clock and fence
+ * start again, and calls to the earlier incarnation may still arrive. */
 static void
-reborn_upstream_knows_nothing(void)
+restarted_upstream_has_no_state(void)
 {
     for (uint64_t seed = 100; seed < 110; seed++) {
-        struct vlease *v = calm_region(seed);
+        struct vlease *v = new_region(seed);
 
         vlease_load(v, 1);
         vlease_run(v, READY_US + 1 * SEC);
@@ -362,18 +365,18 @@
             vlease_reborn(v, i);
         }
         vlease_run(v, READY_US + 8 * SEC);
-        settle(v, READY_US + 8 * SEC);
+        drain_load(v, READY_US + 8 * SEC);
         CU_ASSERT_TRUE(vlease_figures(v, 0).completed * 20 >
                        vlease_figures(v, 0).asked * 19);
         vlease_free(v);
     }
 }
 
-/* An upstream says that it leaves and ends four seconds later. */
+/* Upstreams announce that they leave, and end four seconds later. */
 static void
-leaving_upstream_gets_nothing_new(void)
+leaving_upstream_gets_no_new_tasks(void)
 {
-    struct vlease *v = calm_region(120);
+    struct vlease *v = new_region(120);
     struct vlease_figures f;
 
     vlease_load(v, 1);
@@ -381,36 +384,36 @@
     vlease_trouble(v, 1, VLEASE_LEAVING);
     vlease_trouble(v, 9, VLEASE_LEAVING);
     vlease_run(v, READY_US + 9 * SEC);
-    settle(v, READY_US + 9 * SEC);
+    drain_load(v, READY_US + 9 * SEC);
     f = vlease_figures(v, 0);
     CU_ASSERT_EQUAL(f.completed, f.asked);
     vlease_free(v);
 }
 
-/* A few upstreams fail all that they start, at once, and so are always idle.
- * Work must not be drawn to them. */
+/* Some upstreams fail every task at once and are therefore always idle.  They
+ * must not attract the load. */
 static void
-failing_upstreams_get_little(void)
+failing_upstreams_are_avoided(void)
 {
-    struct vlease *v = calm_region(130);
+    struct vlease *v = new_region(130);
     struct vlease_figures f;
 
     vlease_load(v, 1);
     vlease_trouble(v, 2, VLEASE_FAILS);
     vlease_trouble(v, 12, VLEASE_FAILS);
     vlease_run(v, READY_US + 10 * SEC);
-    settle(v, READY_US + 10 * SEC);
+    drain_load(v, READY_US + 10 * SEC);
     f = vlease_figures(v, 0);
     CU_ASSERT_TRUE(f.completed * 100 > f.asked * 97);
     vlease_free(v);
 }
 
-/* Tasks on some upstreams stand still while everything else there looks well.
- * They are stopped and run elsewhere. */
+/* Tasks on some upstreams make no progress although the upstreams answer.  The
+ * tasks are stopped and run elsewhere. */
 static void
-standing_tasks_are_moved(void)
+stalled_tasks_are_restarted_elsewhere(void)
 {
-    struct vlease *v = calm_region(140);
+    struct vlease *v = new_region(140);
     struct vlease_figures f;
 
     vlease_load(v, 1);
@@ -419,19 +422,20 @@
     vlease_run(v, READY_US + 8 * SEC);
     vlease_trouble(v, 3, VLEASE_SOUND);
     vlease_trouble(v, 11, VLEASE_SOUND);
-    settle(v, READY_US + 8 * SEC);
+    drain_load(v, READY_US + 8 * SEC);
     f = vlease_figures(v, 0);
     CU_ASSERT_TRUE(f.completed * 100 > f.asked * 97);
     vlease_free(v);
 }
 
-/* A planned stop of the broker that holds a zone's upstreams: nothing is cut
- * off, what has not started goes to its successor, and it ends in time. */
+/* A planned stop of a broker, which may hold the upstreams of its zone:
+ * running jobs are completed, jobs that have not started go to its successor,
+ * and the stop ends in time. */
 static void
-planned_stop_cuts_nothing_off(void)
+planned_stop_loses_no_jobs(void)
 {
     for (uint64_t seed = 150; seed < 156; seed++) {
-        struct vlease *v = calm_region(seed);
+        struct vlease *v = new_region(seed);
         uint32_t broker = (uint32_t)(seed % 6);
         struct vlease_figures f;
 
@@ -440,7 +444,7 @@
         vlease_stop(v, broker);
         vlease_run(v, READY_US + 8 * SEC);
         CU_ASSERT_TRUE(vlease_stopped(v, broker));
-        settle(v, READY_US + 8 * SEC);
+        drain_load(v, READY_US + 8 * SEC);
         f = vlease_figures(v, 0);
         CU_ASSERT_EQUAL(f.failed, 0);
         CU_ASSERT_TRUE(f.completed * 100 > f.asked * 98);
@@ -448,12 +452,12 @@
     }
 }
 
-/* The caller's connection broke and it hands the same job in at another broker
- * while the first is still at work. */
+/* A caller whose connection broke submits the same job to another broker while
+ * the first submission still runs. */
 static void
-job_handed_in_twice_runs_once(void)
+job_submitted_twice_runs_once(void)
 {
-    struct vlease *v = calm_region(160);
+    struct vlease *v = new_region(160);
     uint64_t job = vlease_submit(v, 0, 0);
 
     vlease_run(v, READY_US + 10 * MSEC);
@@ -461,13 +465,14 @@
     vlease_run(v, READY_US + 2 * SEC);
     CU_ASSERT_EQUAL(vlease_outcome(v, job), JOB_COMPLETED_OUTCOME);
     CU_ASSERT_EQUAL(vlease_starts(v), 4);
-    settle(v, READY_US + 2 * SEC);
+    drain_load(v, READY_US + 2 * SEC);
     vlease_free(v);
 }
 
-/* Nobody waits for the answer any more: what runs for it is stopped. */
+/* The caller disconnects before the answer: the runs of its job are stopped.
+ */
 static void
-work_ends_when_its_caller_leaves(void)
+runs_are_stopped_when_the_caller_leaves(void)
 {
     struct vlease_options o = vlease_options_default();
     struct vlease *v;
@@ -483,19 +488,19 @@
     vlease_leave(v, job);
     vlease_run(v, READY_US + 300 * MSEC);
     CU_ASSERT_EQUAL(vlease_running(v), 0);
-    settle(v, READY_US + 300 * MSEC);
+    drain_load(v, READY_US + 300 * MSEC);
     vlease_free(v);
 }
 
-/* The holder of a zone's upstreams has nothing to do while it is cut off from
- * the others; its successor takes the upstreams and gives them back when the
- * cut has healed.  The first one never noticed, and starts with a fence that
- * every upstream refuses: a user's jobs fail at an idle zone. */
+/* An idle holder is disconnected from the other brokers; its successor takes
+ * the upstreams and returns them when the connection is back.  If the first
+ * holder does not notice, it starts tasks with a fence that all upstreams
+ * refuse, and jobs fail although the zone is idle. */
 static void
-idle_holder_notices_that_it_was_replaced(void)
+idle_holder_detects_its_replacement(void)
 {
     for (uint64_t seed = 170; seed < 176; seed++) {
-        struct vlease *v = calm_region(seed);
+        struct vlease *v = new_region(seed);
         uint64_t job;
 
         vlease_cut(v, 0, true, false);
@@ -505,13 +510,13 @@
         job = vlease_submit(v, 0, 0);
         vlease_run(v, READY_US + 6 * SEC);
         CU_ASSERT_EQUAL(vlease_outcome(v, job), JOB_COMPLETED_OUTCOME);
-        settle(v, READY_US + 6 * SEC);
+        drain_load(v, READY_US + 6 * SEC);
         vlease_free(v);
     }
 }
 
 static void
-trouble_upstreams(struct vlease *v, uint64_t *random, uint32_t n)
+inject_upstream_faults(struct vlease *v, uint64_t *random, uint32_t n)
 {
     static const enum vlease_trouble troubles[] = {
         VLEASE_DEAD, VLEASE_CUT,  VLEASE_FAILS, VLEASE_HANGS,
@@ -526,7 +531,7 @@
 }
 
 static void
-trouble_brokers(struct vlease *v, uint64_t *random, uint32_t round)
+inject_broker_fault(struct vlease *v, uint64_t *random, uint32_t round)
 {
     uint32_t broker;
 
@@ -556,18 +561,18 @@
     }
 }
 
-/* Troubles of all kinds overlap and end again, by seed. */
+/* Faults of all kinds overlap and end again, chosen by the seed. */
 static void
-soak(uint64_t seed)
+run_random_faults(uint64_t seed)
 {
-    struct vlease *v = calm_region(seed);
+    struct vlease *v = new_region(seed);
     uint64_t random = seed * 77777;
     int64_t at = READY_US;
 
     vlease_load(v, 1);
     for (uint32_t round = 0; round < 6; round++) {
-        trouble_upstreams(v, &random, 3);
-        trouble_brokers(v, &random, round);
+        inject_upstream_faults(v, &random, 3);
+        inject_broker_fault(v, &random, round);
         at += 1500 * MSEC;
         vlease_run(v, at);
         for (uint32_t i = 0; i < 24 && round % 2 == 1; i++) {
@@ -581,19 +586,19 @@
         }
     }
     vlease_run(v, at + 4 * SEC);
-    settle(v, at + 4 * SEC);
+    drain_load(v, at + 4 * SEC);
     vlease_free(v);
 }
 
 static void
-troubles_overlap(void)
+random_faults_overlap(void)
 {
     for (uint64_t seed = 1000; seed < 1040; seed++) {
         unsigned int before = CU_get_number_of_failures();
 
-        soak(seed);
+        run_random_faults(seed);
         if (CU_get_number_of_failures() != before) {
-            (void)fprintf(stderr, "troubles_overlap: seed %llu\n",
+            (void)fprintf(stderr, "random_faults_overlap: seed %llu\n",
                           (unsigned long long)seed);
         }
     }
@@ -603,27 +608,27 @@
 suite_broker(void)
 {
 #define TEST(name) check_add("broker", #name, name)
-    TEST(calm_jobs_are_in_time);
-    TEST(region_restarts_among_known_upstreams);
-    TEST(power_comes_back_among_remembered_upstreams);
-    TEST(power_comes_back_with_empty_disks);
-    TEST(remembered_upstreams_have_changed);
-    TEST(last_broker_of_a_zone_goes_on_until_another_is_back);
-    TEST(lingering_broker_gives_way_to_one_that_is_back);
-    TEST(runner_dies_and_its_jobs_come_again);
-    TEST(paused_broker_wakes_as_nobody);
-    TEST(cut_off_broker_and_its_successor);
+    TEST(jobs_are_in_time_without_faults);
+    TEST(restarted_region_takes_known_upstreams);
+    TEST(stored_upstreams_are_used_soon_after_power_loss);
+    TEST(power_loss_with_lost_registry_disks);
+    TEST(stored_upstreams_changed_during_power_loss);
+    TEST(last_stopping_broker_of_a_zone_keeps_serving);
+    TEST(draining_broker_hands_over_to_restarted_broker);
+    TEST(jobs_of_killed_runner_are_resubmitted);
+    TEST(paused_broker_gives_up_its_upstreams);
+    TEST(disconnected_broker_and_its_successor);
     TEST(offers_lost_with_a_connection);
-    TEST(late_orders_start_nothing_twice);
-    TEST(silent_upstream_runs_on);
-    TEST(reborn_upstream_knows_nothing);
-    TEST(leaving_upstream_gets_nothing_new);
-    TEST(failing_upstreams_get_little);
-    TEST(standing_tasks_are_moved);
-    TEST(planned_stop_cuts_nothing_off);
-    TEST(job_handed_in_twice_runs_once);
-    TEST(work_ends_when_its_caller_leaves);
-    TEST(idle_holder_notices_that_it_was_replaced);
-    TEST(troubles_overlap);
+    TEST(late_starts_do_not_overlap);
+    TEST(tasks_of_silent_upstream_wait_for_lease_end);
+    TEST(restarted_upstream_has_no_state);
+    TEST(leaving_upstream_gets_no_new_tasks);
+    TEST(failing_upstreams_are_avoided);
+    TEST(stalled_tasks_are_restarted_elsewhere);
+    TEST(planned_stop_loses_no_jobs);
+    TEST(job_submitted_twice_runs_once);
+    TEST(runs_are_stopped_when_the_caller_leaves);
+    TEST(idle_holder_detects_its_replacement);
+    TEST(random_faults_overlap);
 #undef TEST
 }
