--- a/src/broker.c
+++ b/src/broker.c
@@ -11,7 +11,7 @@
 enum {
     TICK_MAX_US = 500 * 1000, /* longest time between two ticks */
     /* A step this many leases after the previous one means that the process
-     * was paused: normally a lease takes at least ten ticks. */
+     * was paused: normally there are ten ticks in the time of a lease. */
     PAUSE_LEASES = 1,
 };
 /* Shortest time between two hold_reassign(): each visits all upstreams, and
--- a/src/broker_answer.c
+++ b/src/broker_answer.c
@@ -74,16 +74,16 @@
                 const struct run_job *job, const struct run_task *t,
                 double ran_us)
 {
-    double usual = (double)t->expected_us / u->slowness /
-                   place_remote_factor(&job->groups[t->group], u);
+    double usual_us = (double)t->expected_us / u->slowness /
+                      place_remote_factor(&job->groups[t->group], u);
 
     if (job->n_done > 0 && job->n_groups == 1) {
         broker_health_task_done(
             b, u, ran_us * job->n_done / (double)job->total_run_us,
             SIBLINGS_WEIGHT);
     }
-    else if (usual > 0) {
-        broker_health_task_done(b, u, ran_us / usual, DECLARED_WEIGHT);
+    else if (usual_us > 0) {
+        broker_health_task_done(b, u, ran_us / usual_us, DECLARED_WEIGHT);
     }
 }
 
@@ -168,18 +168,18 @@
 sample_progress(struct broker_upstream *u, const struct run_job *job,
                 const struct run_task *t, int64_t ran_us)
 {
-    double whole;
-    double pace;
+    double full_run_us;
+    double slowness_now;
 
     if (t->percent < PERCENT_MIN || t->percent >= PERCENT_FULL ||
         job->n_done < 2 || job->n_groups != 1) {
         return;
     }
-    whole = (double)ran_us * PERCENT_FULL / (double)t->percent /
-            place_remote_factor(&job->groups[t->group], u);
-    pace = whole * job->n_done / (double)job->total_run_us;
-    if (pace > 2.0 * u->slowness) {
-        u->slowness = pace;
+    full_run_us = (double)ran_us * PERCENT_FULL / (double)t->percent /
+                  place_remote_factor(&job->groups[t->group], u);
+    slowness_now = full_run_us * job->n_done / (double)job->total_run_us;
+    if (slowness_now > 2.0 * u->slowness) {
+        u->slowness = slowness_now;
     }
 }
 
@@ -288,8 +288,9 @@
         }
         stopped = t->stop_confirmed_us <= sent_us;
         late = t->start_sent_us + late_us < sent_us;
-        /* A run that was running and is not listed any more has ended, but the
-         * list of ended runs has a maximum length: the next one holds it. */
+        /* A run that was running and is not listed any more has ended.  The
+         * list of ended runs has a maximum length, so a later answer reports
+         * the end. */
         if (!(stopped || late) ||
             (t->state == RUN_RUNNING && a->n_ended > 0)) {
             continue;
--- a/src/broker_caller.c
+++ b/src/broker_caller.c
@@ -13,7 +13,8 @@
 
 /* Cost of running a job in another zone: a round trip and the transfer. */
 #define CROSS_ZONE_COST_US (8 * USEC_PER_MSEC)
-/* Assumed wait at a runner that is full and releases no capacity. */
+/* Assumed wait at a runner that is full and releases no capacity; long, so
+ * that any other runner is preferred. */
 #define STALLED_RUNNER_US (10 * USEC_PER_SEC)
 /* Retry advice when there is no runner: about the time in which brokers take
  * over the upstreams of a lost one. */
@@ -178,7 +179,7 @@
 }
 
 /* @except is the runner that returned the job: its reason probably still
- * holds. Among runners with the same wait one is drawn at random, weighted by
+ * holds.  Among runners with the same wait one is drawn at random, weighted by
  * free capacity: all brokers have the same load reports, and would otherwise
  * all send their jobs to the same runner until the next report. */
 static struct broker_peer *
--- a/src/broker_config.c
+++ b/src/broker_config.c
@@ -236,9 +236,9 @@
     enum queueconf_fault fault = QUEUECONF_OK;
     struct queueconf *queues =
         b->opts.read_config(text->data, text->size, &fault);
-    int64_t heard_us = b->fetch.first_reported_us > 0
-                           ? b->fetch.first_reported_us
-                           : b->now.mono_us;
+    int64_t reported_us = b->fetch.first_reported_us > 0
+                              ? b->fetch.first_reported_us
+                              : b->now.mono_us;
 
     if (queues == NULL) {
         b->fetch.unreadable_version = r->version;
@@ -259,7 +259,7 @@
                (unsigned long long)r->version,
                (unsigned long long)queues->rank, queues->n_queues, text->size,
                reply_bytes(r), r->from_version != 0 ? " of changes" : "",
-               (long long)((b->now.mono_us - heard_us) / USEC_PER_MSEC));
+               (long long)((b->now.mono_us - reported_us) / USEC_PER_MSEC));
 }
 
 static void
--- a/src/broker_effect.h
+++ b/src/broker_effect.h
@@ -153,11 +153,14 @@
     struct lease_request request;
 };
 
+/** struct be_send - sends a message to the process @to */
 struct be_send {
     struct name to;
     struct msg msg; /* owned */
 };
 
+/** struct be_connect - connects to a process, or, without @address,
+ * disconnects from it */
 struct be_connect {
     struct name name;
     struct address address;
--- a/src/broker_share.c
+++ b/src/broker_share.c
@@ -38,12 +38,12 @@
 double
 share_total_demand(const struct broker_service *s)
 {
-    double offered = 0;
+    double demand = 0;
 
     for (size_t i = 0; i < s->n_stats; i++) {
-        offered += s->stats[i].demand;
+        demand += s->stats[i].demand;
     }
-    return offered;
+    return demand;
 }
 
 /* Sum of the shares if each queue gets weight * @level times its demand, and
--- a/src/broker_state.h
+++ b/src/broker_state.h
@@ -565,8 +565,11 @@
 
 /* broker_config.c */
 
+/** config_tick() - polls the registries for their version; fetches a newer
+ * configuration */
 void config_tick(struct broker *b);
 int64_t config_next_us(const struct broker *b);
+/** config_on_reply() - a registry reports its version, or sends the text */
 void config_on_reply(struct broker *b, struct name from,
                      const struct rec_config_reply *r);
 
@@ -596,21 +599,36 @@
 void peers_send_to_zone(struct broker *b, struct msg *m);
 
 /* broker_caller.c */
+/** caller_on_submit() - accepts a job and offers it to a runner, or refuses
+ * it */
 void caller_on_submit(struct broker *b, const struct bev_submit *s);
+
+/** caller_on_cancel() - cancels a job of this broker; answers both requests */
 void caller_on_cancel(struct broker *b, const struct bev_cancel *c);
+
+/** caller_on_disconnect() - drops the job of a caller that disconnected */
 void caller_on_disconnect(struct broker *b, uint64_t request);
+
+/** caller_on_job_end() - a runner reports the outcome of a job or returns it:
+ * answers the caller or offers the job to another runner */
 void caller_on_job_end(struct broker *b, struct name from,
                        const struct rec_job_end *e);
 
 /** caller_on_runner_lost() - the connection to a runner was lost: its jobs are
  * answered with an unknown outcome */
 void caller_on_runner_lost(struct broker *b, struct name runner);
+
+/** caller_tick() - offers jobs without a runner again, answers jobs whose
+ * deadline has passed */
 void caller_tick(struct broker *b);
 int64_t caller_next_us(const struct broker *b);
 
 /* broker_run.c */
+
+/** run_on_offer() - a taker offers a job: accepts it, or reports a refusal */
 void run_on_offer(struct broker *b, struct name from,
                   const struct rec_job_offer *o);
+/** run_on_drop() - a taker drops a job: stops its runs */
 void run_on_drop(struct broker *b, struct name from, uint64_t number);
 
 /** run_on_taker_lost() - the connection to a taker was lost: its jobs are
--- a/tests/broker_scale_test.c
+++ b/tests/broker_scale_test.c
@@ -137,8 +137,8 @@
     step(o, &ev);
 }
 
-/* Starts a broker with @others of its zone connected, of the incarnations 2, 3
- * and so on. */
+/* Starts a broker with @others of its zone connected, of incarnation 2 and
+ * up. */
 static struct test_broker
 start_broker(uint64_t incarnation, size_t others)
 {
