--- a/src/broker_answer.c
+++ b/src/broker_answer.c
@@ -95,9 +95,10 @@
     double ran_us = (double)(b->now.mono_us - t->start_sent_us) /
                     place_remote_factor(g, u);
 
-    /* Not divided by the upstream's slowness: the estimates of run time and of
-     * slowness would then depend on each other and could drift together. */
     histogram_add(&b->histograms.run, b->now.mono_us - t->start_sent_us);
+    /* @ran_us is not divided by the upstream's slowness: the estimates of run
+     * time and of slowness would then depend on each other and could drift
+     * together. */
     if (!b->opts.disabled[BROKER_FEATURE_LEARNED]) {
         order_record_run(job, g, (int64_t)ran_us + 1);
     }
--- a/src/broker_event.h
+++ b/src/broker_event.h
@@ -69,11 +69,13 @@
     struct lease_answer answer;
 };
 
+/** struct bev_message - a message came from the process @from */
 struct bev_message {
     struct name from;
     const struct msg *msg;
 };
 
+/** struct bev_peer - the connection to @peer was made, or lost if not @up */
 struct bev_peer {
     struct name peer;
     bool up;
