--- a/src/borrow.c
+++ b/src/borrow.c
@@ -7,52 +7,59 @@
 #include "member.h"
 #include "lend.h"
 
-#define QUIET_US (100 * USEC_PER_MSEC)       /* after a reply that was lost */
-#define WAIT_US (1 * USEC_PER_SEC)           /* a request is remembered */
-#define REPLY_US (300 * USEC_PER_MSEC)       /* after which a reply is lost */
-#define BATCH_US (60 * USEC_PER_MSEC)        /* between grants to who waits */
-#define ASK_WORTH_US (60 * USEC_PER_MSEC)    /* of waiting, to ask for slots */
-#define WORTH_US (250 * USEC_PER_MSEC)       /* the same where none are free */
+#define LOST_REPLY_PAUSE_US                                                   \
+    (100 * USEC_PER_MSEC)                 /* after a reply that was lost */
+#define REQUEST_TTL_US (1 * USEC_PER_SEC) /* a request is remembered */
+#define REPLY_TIMEOUT_US                                                      \
+    (300 * USEC_PER_MSEC) /* after which a reply is lost */
+#define GRANT_INTERVAL_US                                                     \
+    (60 * USEC_PER_MSEC) /* between grants to who waits */
+#define REQUEST_MIN_WAIT_US                                                   \
+    (60 * USEC_PER_MSEC) /* of waiting, to ask for slots */
+#define QUEUED_MIN_WAIT_US                                                    \
+    (250 * USEC_PER_MSEC)                    /* the same where none are free */
 #define RANK_MARGIN_US (100 * USEC_PER_MSEC) /* to go before our own */
 
 enum {
-    SPARE_TIMES = 3,  /* longer pauses to spare messages */
-    SAMPLES_FEW = 10, /* run times; with fewer nothing is known */
+    SPARE_FACTOR = 3, /* longer pauses to spare messages */
+    SAMPLES_MIN = 10, /* run times; with fewer nothing is known */
 };
 
 /** struct lender - what is known of another instance's free slots */
 struct lender {
     struct member *member;
-    bool near;        /* in our zone */
-    uint32_t free;    /* slots, as last told, less what was asked for */
-    int64_t heard_us; /* when the lender told the number */
-    int64_t quiet_us; /* nothing is asked before that */
-    uint64_t request; /* on its way; 0: none */
-    uint32_t asked;
-    int64_t asked_us;
-    int64_t waits_us; /* it remembers our request until then */
+    bool same_zone;        /* in our zone */
+    uint32_t free;         /* slots, as last told, less what was asked for */
+    int64_t loads_read_us; /* when the lender told the number */
+    int64_t not_before_us; /* nothing is asked before that */
+    uint64_t request;      /* on its way; 0: none */
+    uint32_t n_requested;
+    int64_t requested_us;
+    int64_t queued_until_us; /* it remembers our request until then */
 };
 
-/** struct slot_wait - another instance that asked for more than was free */
-struct slot_wait {
+/** struct queued_request - another instance that asked for more than was free
+ */
+struct queued_request {
     struct name from;
-    bool near;
+    bool same_zone;
     uint64_t request;
     struct resources need;
     uint32_t count;
     uint32_t first;  /* of them for the job with the rank below */
     int64_t rank_us; /* see queue.h, by our clock */
-    int64_t ends_us;
+    int64_t expires_us;
 };
 
 struct borrowing {
     struct lender *lenders;
     size_t n_lenders;
-    struct slot_wait *waits; /* room for one of each instance */
-    size_t n_waits;
-    int64_t blocked_us; /* since when the queue lacks places; 0: it doesn't */
-    int64_t next_us;    /* when to ask again */
-    int64_t serve_us;   /* those who wait get nothing before that */
+    struct queued_request *requests; /* room for one of each instance */
+    size_t n_requests;
+    int64_t blocked_since_us; /* since when the queue lacks places; 0: it
+                                 doesn't */
+    int64_t next_us;          /* when to ask again */
+    int64_t next_grant_us;    /* those who wait get nothing before that */
 };
 
 static struct borrowing *
@@ -66,8 +73,8 @@
         abort();
     }
     b->lenders = calloc(e->opts.n_peers, sizeof(*b->lenders));
-    b->waits = calloc(e->opts.n_peers, sizeof(*b->waits));
-    if (b->lenders == NULL || b->waits == NULL) {
+    b->requests = calloc(e->opts.n_peers, sizeof(*b->requests));
+    if (b->lenders == NULL || b->requests == NULL) {
         abort();
     }
     while ((m = members_next(e, &at)) != NULL) {
@@ -75,8 +82,8 @@
             struct lender *l = &b->lenders[b->n_lenders++];
 
             l->member = m;
-            l->near = name_equal(m->zone, e->zone);
-            l->heard_us = -1;
+            l->same_zone = name_equal(m->zone, e->zone);
+            l->loads_read_us = -1;
         }
     }
     b->next_us = INT64_MAX;
@@ -88,7 +95,7 @@
 {
     if (b != NULL) {
         free(b->lenders);
-        free(b->waits);
+        free(b->requests);
         free(b);
     }
 }
@@ -109,10 +116,10 @@
 {
     const struct member *m = l->member;
 
-    if (l->heard_us == m->loads_received_us) {
+    if (l->loads_read_us == m->loads_received_us) {
         return;
     }
-    l->heard_us = m->loads_received_us;
+    l->loads_read_us = m->loads_received_us;
     l->free = 0;
     for (size_t i = 0; i < m->n_loads; i++) {
         if (name_equal(m->loads[i].service, s->name)) {
@@ -121,38 +128,41 @@
     }
 }
 
-/** freshen() - takes in heartbeats and gives lost requests up; how many slots
- * are on order */
+/** refresh_lenders() - takes in heartbeats and gives lost requests up; how
+ * many slots are on order */
 static uint32_t
-freshen(struct entry *e, struct service_state *s)
+refresh_lenders(struct entry *e, struct service_state *s)
 {
     struct borrowing *b = s->borrowing;
-    uint32_t on_order = 0;
+    uint32_t n_in_flight = 0;
 
     for (size_t i = 0; i < b->n_lenders; i++) {
         struct lender *l = &b->lenders[i];
 
         read_heartbeat(s, l);
-        if (l->request != 0 && l->asked_us + REPLY_US <= e->now.mono_us) {
+        if (l->request != 0 &&
+            l->requested_us + REPLY_TIMEOUT_US <= e->now.mono_us) {
             l->request = 0;
-            l->quiet_us = e->now.mono_us + entry_jitter(e, QUIET_US);
+            l->not_before_us =
+                e->now.mono_us + entry_jitter(e, LOST_REPLY_PAUSE_US);
         }
         if (l->request != 0) {
-            on_order += l->asked;
+            n_in_flight += l->n_requested;
         }
     }
-    return on_order;
+    return n_in_flight;
 }
 
 static bool
-may_ask(const struct entry *e, const struct lender *l)
+may_request(const struct entry *e, const struct lender *l)
 {
-    return l->member->up && l->request == 0 && l->quiet_us <= e->now.mono_us;
+    return l->member->up && l->request == 0 &&
+           l->not_before_us <= e->now.mono_us;
 }
 
 static void
-ask(struct entry *e, struct service_state *s, struct lender *l,
-    struct resources need, uint32_t count)
+send_request(struct entry *e, struct service_state *s, struct lender *l,
+             struct resources need, uint32_t count)
 {
     const struct queued *q = queue_first(&s->queue);
     struct msg m = {.kind = MSG_SLOT_REQUEST};
@@ -161,13 +171,14 @@
     r->request = entry_new_call_id(e);
     r->wait = l->free == 0 ? 1 : 0;
     if (r->wait != 0) {
-        l->waits_us = e->now.mono_us + WAIT_US;
-        l->quiet_us = e->now.mono_us + entry_jitter(e, WAIT_US / 2);
+        l->queued_until_us = e->now.mono_us + REQUEST_TTL_US;
+        l->not_before_us =
+            e->now.mono_us + entry_jitter(e, REQUEST_TTL_US / 2);
     }
     else {
         l->request = r->request;
-        l->asked = count;
-        l->asked_us = e->now.mono_us;
+        l->n_requested = count;
+        l->requested_us = e->now.mono_us;
         l->free = l->free > count ? l->free - count : 0;
     }
     r->service = s->name;
@@ -181,11 +192,11 @@
     entry_send(e, l->member->name, &m);
 }
 
-/** better() - one that can give all is as good as another, and a random one
- * of these keeps askers from all choosing the same */
+/** lends_more() - one that can give all is as good as another, and a random
+ * one of these keeps askers from all choosing the same */
 static bool
-better(struct entry *e, const struct lender *a, const struct lender *b,
-       uint32_t count)
+lends_more(struct entry *e, const struct lender *a, const struct lender *b,
+           uint32_t count)
 {
     uint32_t x = a->free < count ? a->free : count;
     uint32_t y = b->free < count ? b->free : count;
@@ -197,37 +208,39 @@
 }
 
 static struct lender *
-best_lender(struct entry *e, struct borrowing *b, bool near, uint32_t count)
+best_lender(struct entry *e, struct borrowing *b, bool same_zone,
+            uint32_t count)
 {
     struct lender *best = NULL;
 
     for (size_t i = 0; i < b->n_lenders; i++) {
         struct lender *l = &b->lenders[i];
 
-        if (l->near != near || l->free == 0 || !may_ask(e, l)) {
+        if (l->same_zone != same_zone || l->free == 0 || !may_request(e, l)) {
             continue;
         }
-        if (best == NULL || better(e, l, best, count)) {
+        if (best == NULL || lends_more(e, l, best, count)) {
             best = l;
         }
     }
     return best;
 }
 
-/** ask_free() - asks those known to have free slots; what is still wanted */
+/** request_free_slots() - asks those known to have free slots; what is still
+ * wanted */
 static uint32_t
-ask_free(struct entry *e, struct service_state *s, struct resources need,
-         bool near, uint32_t count)
+request_free_slots(struct entry *e, struct service_state *s,
+                   struct resources need, bool same_zone, uint32_t count)
 {
     while (count > 0) {
-        struct lender *l = best_lender(e, s->borrowing, near, count);
+        struct lender *l = best_lender(e, s->borrowing, same_zone, count);
         uint32_t part;
 
         if (l == NULL) {
             break;
         }
         part = l->free < count ? l->free : count;
-        ask(e, s, l, need, part);
+        send_request(e, s, l, need, part);
         count -= part;
     }
     return count;
@@ -239,28 +252,28 @@
     return s->conf != NULL && s->conf->spill;
 }
 
-/** ask_to_wait() - leaves the request with holders that have nothing free
+/** request_to_queue() - leaves the request with holders that have nothing free
  * now */
 static void
-ask_to_wait(struct entry *e, struct service_state *s, struct resources need,
-            uint32_t count)
+request_to_queue(struct entry *e, struct service_state *s,
+                 struct resources need, uint32_t count)
 {
     struct borrowing *b = s->borrowing;
-    bool far = may_spill(s) && !e->opts.fewer_messages;
+    bool other_zones = may_spill(s) && !e->opts.fewer_messages;
 
     for (size_t i = 0; i < b->n_lenders; i++) {
         struct lender *l = &b->lenders[i];
 
-        if ((l->near || far) && may_ask(e, l)) {
-            ask(e, s, l, need, count);
+        if ((l->same_zone || other_zones) && may_request(e, l)) {
+            send_request(e, s, l, need, count);
         }
     }
 }
 
 static int64_t
-pause_us(const struct entry *e, int64_t us)
+scaled_pause(const struct entry *e, int64_t us)
 {
-    return e->opts.fewer_messages ? us * SPARE_TIMES : us;
+    return e->opts.fewer_messages ? us * SPARE_FACTOR : us;
 }
 
 /** borrow_withdraw() - withdraws what holders still remember: otherwise each
@@ -271,31 +284,31 @@
     struct borrowing *b = s->borrowing;
 
     if (b != NULL) {
-        b->blocked_us = 0;
+        b->blocked_since_us = 0;
     }
     for (size_t i = 0; b != NULL && i < b->n_lenders; i++) {
         struct lender *l = &b->lenders[i];
         struct msg m = {.kind = MSG_SLOT_REQUEST};
 
-        if (l->waits_us <= e->now.mono_us) {
+        if (l->queued_until_us <= e->now.mono_us) {
             continue;
         }
-        l->waits_us = 0;
-        l->quiet_us = e->now.mono_us;
+        l->queued_until_us = 0;
+        l->not_before_us = e->now.mono_us;
         m.u.slot_request.service = s->name;
         entry_send(e, l->member->name, &m);
     }
 }
 
 static uint32_t
-at_most(uint32_t n, uint32_t most)
+min_u32(uint32_t n, uint32_t most)
 {
     return n < most ? n : most;
 }
 
-/** first_need() - of the task that goes next */
+/** next_task_need() - of the task that goes next */
 static struct resources
-first_need(struct entry *e, const struct service_state *s)
+next_task_need(struct entry *e, const struct service_state *s)
 {
     const struct queued *q = queue_first(&s->queue);
     const struct job *job = jobs_by_handle(e, q->job);
@@ -303,18 +316,19 @@
     return job->tasks[q->tasks[q->n_tasks - 1]].need;
 }
 
-/** waiting_us() - how long the queue has to wait for our own slots: what they
- * need to work it off if they end one after the other, or what it has waited
- * already if they don't.  With nothing learned yet, nobody can tell. */
+/** estimated_wait_us() - how long the queue has to wait for our own slots:
+ * what they need to work it off if they end one after the other, or what it
+ * has waited already if they don't.  With nothing learned yet, nobody can
+ * tell. */
 static int64_t
-waiting_us(const struct entry *e, const struct service_state *s,
-           uint32_t wanted)
+estimated_wait_us(const struct entry *e, const struct service_state *s,
+                  uint32_t wanted)
 {
     uint32_t slots = s->n_running > 0 ? s->n_running : 1;
-    int64_t waited = e->now.mono_us - s->borrowing->blocked_us;
+    int64_t waited = e->now.mono_us - s->borrowing->blocked_since_us;
     int64_t clear = (int64_t)s->run_estimate.mean_us * wanted / slots;
 
-    if (s->run_estimate.samples < SAMPLES_FEW) {
+    if (s->run_estimate.samples < SAMPLES_MIN) {
         return INT64_MAX;
     }
     return waited > clear ? waited : clear;
@@ -324,26 +338,27 @@
 borrow_request(struct entry *e, struct service_state *s)
 {
     struct borrowing *b = borrowing_of(e, s);
-    uint32_t on_order = freshen(e, s);
-    uint32_t wanted = at_most(s->n_queued, SLOT_REQUEST_MAX);
+    uint32_t n_in_flight = refresh_lenders(e, s);
+    uint32_t wanted = min_u32(s->n_queued, SLOT_REQUEST_MAX);
     struct resources need;
 
-    b->next_us = e->now.mono_us + pause_us(e, ASK_WORTH_US);
-    if (b->blocked_us == 0) {
-        b->blocked_us = e->now.mono_us;
+    b->next_us = e->now.mono_us + scaled_pause(e, REQUEST_MIN_WAIT_US);
+    if (b->blocked_since_us == 0) {
+        b->blocked_since_us = e->now.mono_us;
     }
-    if (wanted <= on_order ||
-        waiting_us(e, s, wanted) < pause_us(e, ASK_WORTH_US)) {
+    if (wanted <= n_in_flight || estimated_wait_us(e, s, wanted) <
+                                     scaled_pause(e, REQUEST_MIN_WAIT_US)) {
         return;
     }
-    wanted -= on_order;
-    need = first_need(e, s);
-    wanted = ask_free(e, s, need, true, wanted);
+    wanted -= n_in_flight;
+    need = next_task_need(e, s);
+    wanted = request_free_slots(e, s, need, true, wanted);
     if (wanted > 0 && may_spill(s)) {
-        wanted = ask_free(e, s, need, false, wanted);
+        wanted = request_free_slots(e, s, need, false, wanted);
     }
-    if (wanted > 0 && waiting_us(e, s, wanted) > pause_us(e, WORTH_US)) {
-        ask_to_wait(e, s, need, wanted);
+    if (wanted > 0 && estimated_wait_us(e, s, wanted) >
+                          scaled_pause(e, QUEUED_MIN_WAIT_US)) {
+        request_to_queue(e, s, need, wanted);
     }
 }
 
@@ -352,10 +367,10 @@
                 const struct rec_slot_grant *m)
 {
     struct borrowing *b = borrowing_of(e, s);
-    uint32_t given = 0;
+    uint32_t granted = 0;
 
     for (size_t i = 0; i < m->n_grants; i++) {
-        given += (uint32_t)m->grants[i].slots;
+        granted += (uint32_t)m->grants[i].slots;
     }
     for (size_t i = 0; i < b->n_lenders; i++) {
         struct lender *l = &b->lenders[i];
@@ -368,11 +383,12 @@
             continue;
         }
         l->request = 0;
-        l->waits_us = 0;
-        if (given < l->asked) {
-            l->waits_us = l->asked_us + WAIT_US;
-            l->quiet_us =
-                e->now.mono_us + entry_jitter(e, pause_us(e, WAIT_US / 2));
+        l->queued_until_us = 0;
+        if (granted < l->n_requested) {
+            l->queued_until_us = l->requested_us + REQUEST_TTL_US;
+            l->not_before_us =
+                e->now.mono_us +
+                entry_jitter(e, scaled_pause(e, REQUEST_TTL_US / 2));
         }
     }
 }
@@ -387,7 +403,7 @@
         struct lender *l = &b->lenders[i];
 
         read_heartbeat(s, l);
-        if (l->member->up && (l->near || may_spill(s))) {
+        if (l->member->up && (l->same_zone || may_spill(s))) {
             free_slots += l->free;
         }
     }
@@ -412,13 +428,13 @@
     for (size_t i = 0; b != NULL && i < b->n_lenders; i++) {
         const struct lender *l = &b->lenders[i];
 
-        if (l->waits_us > now ||
-            (l->request != 0 && l->asked_us + REPLY_US > now)) {
+        if (l->queued_until_us > now ||
+            (l->request != 0 && l->requested_us + REPLY_TIMEOUT_US > now)) {
             return true;
         }
     }
-    for (size_t i = 0; b != NULL && i < b->n_waits; i++) {
-        if (b->waits[i].ends_us > now) {
+    for (size_t i = 0; b != NULL && i < b->n_requests; i++) {
+        if (b->requests[i].expires_us > now) {
             return true;
         }
     }
@@ -427,21 +443,21 @@
 
 /* Being asked */
 
-static struct slot_wait *
-wait_of(struct borrowing *b, struct name from)
+static struct queued_request *
+request_of(struct borrowing *b, struct name from)
 {
-    for (size_t i = 0; i < b->n_waits; i++) {
-        if (name_equal(b->waits[i].from, from)) {
-            return &b->waits[i];
+    for (size_t i = 0; i < b->n_requests; i++) {
+        if (name_equal(b->requests[i].from, from)) {
+            return &b->requests[i];
         }
     }
     return NULL;
 }
 
 static void
-remove_wait(struct borrowing *b, struct slot_wait *w)
+remove_request(struct borrowing *b, struct queued_request *w)
 {
-    *w = b->waits[--b->n_waits];
+    *w = b->requests[--b->n_requests];
 }
 
 void
@@ -450,114 +466,114 @@
                      uint32_t count)
 {
     struct borrowing *b = borrowing_of(e, s);
-    struct slot_wait *w = wait_of(b, from);
+    struct queued_request *w = request_of(b, from);
     const struct member *m = members_by_name(e, from);
     int64_t rank_us = e->now.mono_us - (int64_t)r->waited_us;
 
     if (m == NULL || count == 0) {
         if (w != NULL) {
-            remove_wait(b, w);
+            remove_request(b, w);
         }
         return;
     }
     if (w == NULL) {
-        w = &b->waits[b->n_waits++];
-    }
-    *w = (struct slot_wait){.from = from,
-                            .near = name_equal(m->zone, e->zone),
-                            .request = r->request,
-                            .need = {(uint32_t)r->cpu_milli,
-                                     (uint32_t)r->memory_mb,
-                                     (uint32_t)r->accelerators},
-                            .count = count,
-                            .first = (uint32_t)r->first,
-                            .rank_us = rank_us + (int64_t)r->handicap_us,
-                            .ends_us = e->now.mono_us + WAIT_US};
+        w = &b->requests[b->n_requests++];
+    }
+    *w = (struct queued_request){
+        .from = from,
+        .same_zone = name_equal(m->zone, e->zone),
+        .request = r->request,
+        .need = {(uint32_t)r->cpu_milli, (uint32_t)r->memory_mb,
+                 (uint32_t)r->accelerators},
+        .count = count,
+        .first = (uint32_t)r->first,
+        .rank_us = rank_us + (int64_t)r->handicap_us,
+        .expires_us = e->now.mono_us + REQUEST_TTL_US};
     dispatch_mark_dirty(e, s);
 }
 
 void
 borrow_drop_request(struct entry *e, struct service_state *s, struct name from)
 {
-    struct slot_wait *w;
+    struct queued_request *w;
 
     (void)e;
     if (s == NULL || s->borrowing == NULL) {
         return;
     }
-    w = wait_of(s->borrowing, from);
+    w = request_of(s->borrowing, from);
     if (w != NULL) {
-        remove_wait(s->borrowing, w);
+        remove_request(s->borrowing, w);
     }
 }
 
 static void
-expire_waits(const struct entry *e, struct borrowing *b)
+expire_requests(const struct entry *e, struct borrowing *b)
 {
-    for (size_t i = b->n_waits; i > 0; i--) {
-        if (b->waits[i - 1].ends_us <= e->now.mono_us) {
-            remove_wait(b, &b->waits[i - 1]);
+    for (size_t i = b->n_requests; i > 0; i--) {
+        if (b->requests[i - 1].expires_us <= e->now.mono_us) {
+            remove_request(b, &b->requests[i - 1]);
         }
     }
 }
 
 static bool
-goes_before(const struct slot_wait *a, const struct slot_wait *b)
+ranks_before(const struct queued_request *a, const struct queued_request *b)
 {
-    if (a->near != b->near) {
-        return a->near;
+    if (a->same_zone != b->same_zone) {
+        return a->same_zone;
     }
     return a->rank_us < b->rank_us;
 }
 
-static struct slot_wait *
-first_wait(struct borrowing *b)
+static struct queued_request *
+first_request(struct borrowing *b)
 {
-    struct slot_wait *first = NULL;
+    struct queued_request *first = NULL;
 
-    for (size_t i = 0; i < b->n_waits; i++) {
-        if (first == NULL || goes_before(&b->waits[i], first)) {
-            first = &b->waits[i];
+    for (size_t i = 0; i < b->n_requests; i++) {
+        if (first == NULL || ranks_before(&b->requests[i], first)) {
+            first = &b->requests[i];
         }
     }
     return first;
 }
 
-/** lend_to() - whether any slot went */
+/** grant_queued() - whether any slot went */
 static bool
-lend_to(struct entry *e, struct service_state *s, struct slot_wait *w,
-        uint32_t most)
+grant_queued(struct entry *e, struct service_state *s,
+             struct queued_request *w, uint32_t most)
 {
-    uint32_t given = lend_grant(e, s, w->from, w->request, w->need,
-                                at_most(w->count, most), false);
+    uint32_t granted = lend_grant(e, s, w->from, w->request, w->need,
+                                  min_u32(w->count, most), false);
 
-    w->count -= given;
-    w->first -= at_most(given, w->first);
+    w->count -= granted;
+    w->first -= min_u32(granted, w->first);
     if (w->count == 0) {
-        remove_wait(s->borrowing, w);
+        remove_request(s->borrowing, w);
     }
-    return given > 0;
+    return granted > 0;
 }
 
 void
 borrow_serve_requests(struct entry *e, struct service_state *s)
 {
     struct borrowing *b = s->borrowing;
-    size_t n = b != NULL ? b->n_waits : 0;
+    size_t n = b != NULL ? b->n_requests : 0;
 
     if (n == 0 || s->pool.own_free_slots == 0) {
         return;
     }
-    if (b->serve_us > e->now.mono_us) {
-        dispatch_run_at(e, b->serve_us);
+    if (b->next_grant_us > e->now.mono_us) {
+        dispatch_run_at(e, b->next_grant_us);
         return;
     }
-    b->serve_us = e->now.mono_us + pause_us(e, BATCH_US);
-    expire_waits(e, b);
+    b->next_grant_us = e->now.mono_us + scaled_pause(e, GRANT_INTERVAL_US);
+    expire_requests(e, b);
     while (n-- > 0 && s->pool.own_free_slots > 0) {
-        struct slot_wait *w = first_wait(b);
+        struct queued_request *w = first_request(b);
 
-        if (w == NULL || !lend_to(e, s, w, s->pool.own_free_slots)) {
+        if (w == NULL || !grant_queued(e, s, w, s->pool.own_free_slots)) {
             break;
         }
     }
@@ -568,25 +584,25 @@
                            int64_t rank_us)
 {
     struct borrowing *b = s->borrowing;
-    struct slot_wait *w;
+    struct queued_request *w;
 
-    if (b == NULL || b->n_waits == 0 || s->pool.own_free_slots == 0) {
+    if (b == NULL || b->n_requests == 0 || s->pool.own_free_slots == 0) {
         return false;
     }
-    expire_waits(e, b);
-    w = first_wait(b);
-    if (w == NULL || w->first == 0 || !w->near ||
+    expire_requests(e, b);
+    w = first_request(b);
+    if (w == NULL || w->first == 0 || !w->same_zone ||
         w->rank_us + RANK_MARGIN_US > rank_us) {
         return false;
     }
-    return lend_to(e, s, w, at_most(w->first, s->pool.own_free_slots));
+    return grant_queued(e, s, w, min_u32(w->first, s->pool.own_free_slots));
 }
 
 bool
 borrow_has_demand(const struct service_state *s)
 {
     return s->n_queued > 0 ||
-           (s->borrowing != NULL && s->borrowing->n_waits > 0);
+           (s->borrowing != NULL && s->borrowing->n_requests > 0);
 }
 
 void
--- a/src/handover.c
+++ b/src/handover.c
@@ -8,26 +8,30 @@
 #include "member.h"
 #include "successor.h"
 
-#define AGAIN_US (200 * USEC_PER_MSEC) /* until a batch is sent again */
+#define RESEND_US (200 * USEC_PER_MSEC) /* until a batch is sent again */
 
 enum {
     BATCH_ANSWERS = 256,
     BATCH_BYTES = 1 << 20, /* a single answer may have more */
 };
 
-enum handover_phase { HANDOVER_NONE, HANDOVER_SENDING, HANDOVER_OVER };
+enum handover_phase {
+    HANDOVER_NOT_STARTED,
+    HANDOVER_SENDING,
+    HANDOVER_FINISHED
+};
 
 struct handover {
     enum handover_phase phase;
     struct name successor;
     uint64_t successor_incarnation;
     int64_t end_us;
-    int64_t again_us;
+    int64_t resend_us;
     uint64_t batch;
     uint32_t at;      /* where the batch in flight begins, see table_next() */
     uint32_t next;    /* and where the one after it does */
     size_t in_flight; /* answers of the batch */
-    size_t given;     /* acknowledged */
+    size_t acknowledged; /* acknowledged */
 };
 
 struct handover *
@@ -48,7 +52,7 @@
 }
 
 static size_t
-answers_kept(const struct entry *e)
+count_kept(const struct entry *e)
 {
     uint32_t at = 0;
     size_t n = 0;
@@ -62,9 +66,9 @@
 
 /* The next name after our own, in our zone if there is one. */
 static const struct member *
-choose(const struct entry *e)
+choose_successor(const struct entry *e)
 {
-    const struct member *far = NULL;
+    const struct member *other_zone = NULL;
     size_t n = e->opts.n_peers;
     size_t own = members_index(e, members_by_name(e, e->opts.self));
 
@@ -78,9 +82,9 @@
         if (name_equal(m->zone, e->zone)) {
             return m;
         }
-        far = far != NULL ? far : m;
+        other_zone = other_zone != NULL ? other_zone : m;
     }
-    return far;
+    return other_zone;
 }
 
 static void
@@ -130,40 +134,41 @@
     r->incarnation = e->opts.incarnation;
     r->batch = h->batch;
     h->in_flight = r->n_answers;
-    h->again_us = e->now.mono_us + AGAIN_US;
+    h->resend_us = e->now.mono_us + RESEND_US;
     entry_send(e, h->successor, &m);
     return true;
 }
 
 static void
-finish(struct entry *e, size_t left)
+finish_handover(struct entry *e, size_t left)
 {
     struct handover *h = e->handover;
 
-    h->phase = HANDOVER_OVER;
+    h->phase = HANDOVER_FINISHED;
     entry_log(e, left > 0 ? LOG_WARNING : LOG_NOTICE, REASON_STOPPING, NULL,
               -1, h->successor, "kept answers: %zu handed over, %zu left",
-              h->given, left);
+              h->acknowledged, left);
 }
 
 static size_t
-answers_left(const struct entry *e)
+count_unacknowledged(const struct entry *e)
 {
-    size_t kept = answers_kept(e);
+    size_t kept = count_kept(e);
 
-    return kept > e->handover->given ? kept - e->handover->given : 0;
+    return kept > e->handover->acknowledged ? kept - e->handover->acknowledged
+                                            : 0;
 }
 
 /* With a successor that came to nothing everything is sent again to the next;
  * the time for all of them together is bounded. */
 static void
-begin_with(struct entry *e, const struct member *m)
+start_with(struct entry *e, const struct member *m)
 {
     struct handover *h = e->handover;
 
-    h->given = 0;
+    h->acknowledged = 0;
     if (m == NULL) {
-        finish(e, answers_kept(e));
+        finish_handover(e, count_kept(e));
         return;
     }
     h->successor = m->name;
@@ -174,41 +179,41 @@
                    m->incarnation, e->opts.answer_keep_us);
     members_announce_stopping(e);
     if (!send_batch(e)) {
-        finish(e, 0);
+        finish_handover(e, 0);
     }
 }
 
 static void
-begin(struct entry *e)
+start_handover(struct entry *e)
 {
     struct handover *h = e->handover;
 
     holders_release_all(e);
     h->end_us = e->now.mono_us + HANDOVER_TIMEOUT_US;
     h->phase = HANDOVER_SENDING;
-    if (answers_kept(e) == 0) {
-        h->phase = HANDOVER_OVER;
+    if (count_kept(e) == 0) {
+        h->phase = HANDOVER_FINISHED;
         return;
     }
-    begin_with(e, choose(e));
+    start_with(e, choose_successor(e));
 }
 
 static void
-go_on(struct entry *e)
+continue_handover(struct entry *e)
 {
     struct handover *h = e->handover;
     const struct member *m = members_by_name(e, h->successor);
 
     if (e->now.mono_us >= h->end_us) {
-        finish(e, answers_left(e));
+        finish_handover(e, count_unacknowledged(e));
     }
     else if (!m->up || m->stopping ||
              m->incarnation != h->successor_incarnation) {
-        begin_with(e, choose(e));
+        start_with(e, choose_successor(e));
     }
-    else if (e->now.mono_us >= h->again_us) {
+    else if (e->now.mono_us >= h->resend_us) {
         if (!send_batch(e)) {
-            finish(e, 0);
+            finish_handover(e, 0);
         }
     }
 }
@@ -218,13 +223,13 @@
 {
     struct handover *h = e->handover;
 
-    if (h->phase == HANDOVER_NONE) {
-        begin(e);
+    if (h->phase == HANDOVER_NOT_STARTED) {
+        start_handover(e);
     }
     else if (h->phase == HANDOVER_SENDING) {
-        go_on(e);
+        continue_handover(e);
     }
-    return h->phase == HANDOVER_OVER;
+    return h->phase == HANDOVER_FINISHED;
 }
 
 int64_t
@@ -235,11 +240,12 @@
     if (h->phase != HANDOVER_SENDING) {
         return INT64_MAX;
     }
-    return h->again_us < h->end_us ? h->again_us : h->end_us;
+    return h->resend_us < h->end_us ? h->resend_us : h->end_us;
 }
 
 static void
-on_taken(struct entry *e, struct name from, const struct rec_answer_taken *m)
+on_answer_taken(struct entry *e, struct name from,
+                const struct rec_answer_taken *m)
 {
     struct handover *h = e->handover;
 
@@ -249,21 +255,21 @@
     }
     if (m->refused != 0) {
         members_by_name(e, from)->stopping = true;
-        begin_with(e, choose(e));
+        start_with(e, choose_successor(e));
         return;
     }
-    h->given += h->in_flight;
+    h->acknowledged += h->in_flight;
     h->at = h->next;
     h->batch++;
     if (!send_batch(e)) {
-        finish(e, 0);
+        finish_handover(e, 0);
     }
 }
 
 /* Whoever waits here for that very job gets the answer now; what this
  * instance knows of the key itself stands. */
 static void
-take_one(struct entry *e, const struct rec_kept_answer *r)
+take_answer(struct entry *e, const struct rec_kept_answer *r)
 {
     struct job *job = jobs_by_key(e, r->key);
     int64_t left = e->opts.answer_keep_us;
@@ -288,8 +294,8 @@
 }
 
 static bool
-on_handover(struct entry *e, struct name from,
-            const struct rec_answer_handover *m)
+on_answer_handover(struct entry *e, struct name from,
+                   const struct rec_answer_handover *m)
 {
     const struct member *sender = members_by_name(e, from);
     struct msg reply = {.kind = MSG_ANSWER_TAKEN};
@@ -311,7 +317,7 @@
         successors_set(e, from, m->incarnation, e->opts.self,
                        e->opts.incarnation, e->opts.answer_keep_us);
         for (size_t i = 0; i < m->n_answers; i++) {
-            take_one(e, &m->answers[i]);
+            take_answer(e, &m->answers[i]);
         }
     }
     entry_send(e, from, &reply);
@@ -321,15 +327,15 @@
 void
 handover_on_message(struct entry *e, struct name from, const struct msg *m)
 {
-    bool sense = true;
+    bool valid = true;
 
     if (m->kind == MSG_ANSWER_HANDOVER) {
-        sense = on_handover(e, from, &m->u.answer_handover);
+        valid = on_answer_handover(e, from, &m->u.answer_handover);
     }
     else {
-        on_taken(e, from, &m->u.answer_taken);
+        on_answer_taken(e, from, &m->u.answer_taken);
     }
-    if (!sense) {
+    if (!valid) {
         e->counters.messages_bad++;
         entry_log(e, LOG_WARNING, REASON_BAD_MESSAGE, NULL, -1, from, "%s",
                   msg_name(m->kind));
--- a/src/health.c
+++ b/src/health.c
@@ -8,12 +8,12 @@
 #include "dispatch_state.h"
 #include "upstream.h"
 
-#define PROBE_FIRST_US (1 * USEC_PER_SEC)
-#define PROBE_LONGEST_US (30 * USEC_PER_SEC)
+#define PROBE_BACKOFF_FIRST_US (1 * USEC_PER_SEC)
+#define PROBE_BACKOFF_MAX_US (30 * USEC_PER_SEC)
 
-static const double SLOWNESS_WEIGHT = 0.1; /* of one task */
-static const double SLOW = 1.5;            /* over expected */
-static const double VERY_SLOW = 3.0;
+static const double RATIO_WEIGHT = 0.1; /* of one task */
+static const double SLOW_RATIO = 1.5;   /* over expected */
+static const double VERY_SLOW_RATIO = 3.0;
 
 enum {
     PENALTY_FAILED = 2,
@@ -21,8 +21,8 @@
     PENALTY_VERY_SLOW = 8,
 };
 
-/** struct census - the upstreams of a service that this zone knows */
-struct census {
+/** struct upstream_counts - the upstreams of a service that this zone knows */
+struct upstream_counts {
     uint32_t all;
     uint32_t quarantined;
     struct upstream *last; /* quarantined one with the greatest name */
@@ -46,10 +46,10 @@
     free(h);
 }
 
-static struct census
-count(const struct entry *e, struct name service)
+static struct upstream_counts
+count_upstreams(const struct entry *e, struct name service)
 {
-    struct census c = {0};
+    struct upstream_counts c = {0};
     struct upstream *u;
     uint32_t at = 0;
 
@@ -69,10 +69,10 @@
     return c;
 }
 
-/** most() - how many of them may be quarantined; one where the share gives
- * less, but never the last */
+/** quarantine_cap() - how many of them may be quarantined; one where the share
+ * gives less, but never the last */
 static uint32_t
-most(const struct entry *e, const struct census *c)
+quarantine_cap(const struct entry *e, const struct upstream_counts *c)
 {
     uint32_t n = c->all * e->opts.quarantine_percent / 100;
 
@@ -83,8 +83,9 @@
 static void
 begin_backoff(struct entry *e, struct upstream *u)
 {
-    u->health->backoff_us = PROBE_FIRST_US;
-    u->health->probe_us = e->now.mono_us + entry_jitter(e, PROBE_FIRST_US);
+    u->health->backoff_us = PROBE_BACKOFF_FIRST_US;
+    u->health->probe_us =
+        e->now.mono_us + entry_jitter(e, PROBE_BACKOFF_FIRST_US);
     dispatch_run_at(e, u->health->probe_us);
 }
 
@@ -94,9 +95,9 @@
 static void
 quarantine(struct entry *e, struct upstream *u)
 {
-    struct census c = count(e, u->info.service);
+    struct upstream_counts c = count_upstreams(e, u->info.service);
 
-    if (c.quarantined >= most(e, &c)) {
+    if (c.quarantined >= quarantine_cap(e, &c)) {
         if (!u->health->cap_logged) {
             entry_log(e, LOG_WARNING, REASON_QUARANTINE_CAP, NULL, -1, u->name,
                       "%u failures in a row; %u of %u are quarantined",
@@ -124,26 +125,25 @@
     dispatch_upstream_changed(e, u);
 }
 
-/** decides() - the holder does; without holders everyone for itself */
+/** decides_quarantine() - the holder does; without holders everyone for itself
+ */
 static bool
-decides(const struct entry *e, const struct upstream *u)
+decides_quarantine(const struct entry *e, const struct upstream *u)
 {
     return u->held || e->opts.placement != PLACE_HOLDER;
 }
 
 void
-health_task_succeeded(struct entry *e, struct upstream *u,
-                      double over_expected)
+health_task_succeeded(struct entry *e, struct upstream *u, double ratio)
 {
     struct health *h = u->health;
 
     h->failures = 0;
     h->cap_logged = false;
-    if (over_expected > 0) {
-        h->run_time_ratio +=
-            SLOWNESS_WEIGHT * (over_expected - h->run_time_ratio);
+    if (ratio > 0) {
+        h->run_time_ratio += RATIO_WEIGHT * (ratio - h->run_time_ratio);
     }
-    if (u->info.quarantined && decides(e, u)) {
+    if (u->info.quarantined && decides_quarantine(e, u)) {
         restore(e, u, "a task succeeded");
     }
 }
@@ -154,8 +154,8 @@
     struct health *h = u->health;
 
     h->backoff_us *= 2;
-    if (h->backoff_us > PROBE_LONGEST_US) {
-        h->backoff_us = PROBE_LONGEST_US;
+    if (h->backoff_us > PROBE_BACKOFF_MAX_US) {
+        h->backoff_us = PROBE_BACKOFF_MAX_US;
     }
     h->probe_us = e->now.mono_us + entry_jitter(e, h->backoff_us);
     dispatch_run_at(e, h->probe_us);
@@ -171,7 +171,7 @@
     struct health *h = u->health;
 
     h->failures += times;
-    if (!decides(e, u)) {
+    if (!decides_quarantine(e, u)) {
         return;
     }
     if (u->info.quarantined) {
@@ -196,9 +196,9 @@
 health_probe_allowed(const struct entry *e, const struct upstream *u,
                      bool idempotent)
 {
-    int64_t patience = u->health->probe_us + u->health->backoff_us;
+    int64_t any_job_us = u->health->probe_us + u->health->backoff_us;
 
-    return idempotent || patience <= e->now.mono_us;
+    return idempotent || any_job_us <= e->now.mono_us;
 }
 
 uint32_t
@@ -207,10 +207,10 @@
     const struct health *h = u->health;
     uint32_t penalty = h->failures > 0 ? PENALTY_FAILED : 0;
 
-    if (h->run_time_ratio > VERY_SLOW) {
+    if (h->run_time_ratio > VERY_SLOW_RATIO) {
         return penalty + PENALTY_VERY_SLOW;
     }
-    return h->run_time_ratio > SLOW ? penalty + PENALTY_SLOW : penalty;
+    return h->run_time_ratio > SLOW_RATIO ? penalty + PENALTY_SLOW : penalty;
 }
 
 void
@@ -224,7 +224,7 @@
 void
 health_on_report(struct entry *e, struct upstream *u, bool quarantined)
 {
-    struct census c;
+    struct upstream_counts c;
 
     if (u->held) {
         return;
@@ -233,8 +233,9 @@
     if (!quarantined) {
         return;
     }
-    c = count(e, u->info.service);
-    if (c.quarantined > most(e, &c) && c.last != NULL && c.last->held) {
+    c = count_upstreams(e, u->info.service);
+    if (c.quarantined > quarantine_cap(e, &c) && c.last != NULL &&
+        c.last->held) {
         restore(e, c.last, "more were quarantined at once than may be");
     }
 }
--- a/src/health.h
+++ b/src/health.h
@@ -31,10 +31,9 @@
 struct health *health_new(void);
 void health_free(struct health *h);
 
-/** health_task_succeeded() - a task ran there and succeeded; @over_expected is
+/** health_task_succeeded() - a task ran there and succeeded; @ratio is
  * its run time over the expected one, 0 if not known */
-void health_task_succeeded(struct entry *e, struct upstream *u,
-                           double over_expected);
+void health_task_succeeded(struct entry *e, struct upstream *u, double ratio);
 
 /** health_task_failed() - @times failures in a row, of whatever kind */
 void health_task_failed(struct entry *e, struct upstream *u, uint32_t times);
--- a/src/lend.c
+++ b/src/lend.c
@@ -9,39 +9,40 @@
 #include "timers.h"
 #include "upstream.h"
 
-#define LENT_MARGIN_US (10 * USEC_PER_SEC)    /* after the lease of a grant */
-#define RECALL_US (100 * USEC_PER_MSEC)       /* between recalls */
-#define RECALL_AGAIN_US (400 * USEC_PER_MSEC) /* of the same borrower */
-#define DEBT_US (300 * USEC_PER_MSEC)         /* run time until one is known */
+#define RETURN_MARGIN_US (10 * USEC_PER_SEC) /* after the lease of a grant */
+#define RECALL_INTERVAL_US (100 * USEC_PER_MSEC)   /* between recalls */
+#define BORROWER_INTERVAL_US (400 * USEC_PER_MSEC) /* of the same borrower */
+#define DEFAULT_RUN_US (300 * USEC_PER_MSEC) /* run time until one is known   \
+                                              */
 
-enum { SPARE_TIMES = 3 }; /* longer pauses to spare messages */
+enum { SPARE_FACTOR = 3 }; /* longer pauses to spare messages */
 
-/** struct lent - slots on one upstream that another instance may use */
-struct lent {
+/** struct slot_loan - slots on one upstream that another instance may use */
+struct slot_loan {
     uint64_t grant; /* first: looked up by it */
     struct handle self;
     struct handle upstream;
     struct name borrower;
     uint32_t slots;
-    struct resources each;
+    struct resources per_slot;
     int64_t since_us;
-    int64_t ends_us;
+    int64_t expires_us;
 };
 
-/** struct debtor - a borrower, for recalls */
-struct debtor {
+/** struct recall_candidate - a borrower, for recalls */
+struct recall_candidate {
     struct name borrower;
-    uint32_t slots;   /* see count_debts() */
-    int64_t quiet_us; /* it is not asked before */
+    uint32_t slots;        /* see count_recallable() */
+    int64_t not_before_us; /* it is not asked before */
 };
 
 struct lending {
-    struct table lents;
-    struct map lent_by_grant;
-    struct timers lent_timers;
-    struct debtor debtors[INSTANCES_MAX];
-    size_t n_debtors;
-    int64_t recall_us; /* nobody is asked before */
+    struct table loans;
+    struct map loan_by_grant;
+    struct timers loan_timers;
+    struct recall_candidate candidates[INSTANCES_MAX];
+    size_t n_candidates;
+    int64_t next_recall_us; /* nobody is asked before */
 };
 
 struct lending *
@@ -52,59 +53,59 @@
     if (ls == NULL) {
         abort();
     }
-    table_init(&ls->lents, sizeof(struct lent));
-    map_init(&ls->lent_by_grant, MAP_U64);
+    table_init(&ls->loans, sizeof(struct slot_loan));
+    map_init(&ls->loan_by_grant, MAP_U64);
     return ls;
 }
 
 void
 lend_free(struct lending *ls)
 {
-    map_clear(&ls->lent_by_grant);
-    table_clear(&ls->lents);
-    timers_clear(&ls->lent_timers);
+    map_clear(&ls->loan_by_grant);
+    table_clear(&ls->loans);
+    timers_clear(&ls->loan_timers);
     free(ls);
 }
 
 static int64_t
-spared(const struct entry *e, int64_t us)
+scaled_pause(const struct entry *e, int64_t us)
 {
-    return e->opts.fewer_messages ? us * SPARE_TIMES : us;
+    return e->opts.fewer_messages ? us * SPARE_FACTOR : us;
 }
 
-/** debtor_of() - what a borrower has of a service's slots */
-static struct debtor *
-debtor_of(struct lending *ls, struct name borrower)
+/** candidate_of() - what a borrower has of a service's slots */
+static struct recall_candidate *
+candidate_of(struct lending *ls, struct name borrower)
 {
-    for (size_t i = 0; i < ls->n_debtors; i++) {
-        if (name_equal(ls->debtors[i].borrower, borrower)) {
-            return &ls->debtors[i];
+    for (size_t i = 0; i < ls->n_candidates; i++) {
+        if (name_equal(ls->candidates[i].borrower, borrower)) {
+            return &ls->candidates[i];
         }
     }
-    ls->debtors[ls->n_debtors].borrower = borrower;
-    return &ls->debtors[ls->n_debtors++];
+    ls->candidates[ls->n_candidates].borrower = borrower;
+    return &ls->candidates[ls->n_candidates++];
 }
 
-/** count_debts() - slots lent so long ago that their first task should be
+/** count_recallable() - slots lent so long ago that their first task should be
  * over: those may be idle */
 static void
-count_debts(struct entry *e, const struct service_state *s)
+count_recallable(struct entry *e, const struct service_state *s)
 {
     struct lending *ls = e->dispatch->lending;
     int64_t before =
-        e->now.mono_us - estimate_mean_us(&s->run_estimate, DEBT_US);
+        e->now.mono_us - estimate_mean_us(&s->run_estimate, DEFAULT_RUN_US);
     struct handle h;
-    struct lent *l;
+    struct slot_loan *l;
     uint32_t at = 0;
 
-    for (size_t i = 0; i < ls->n_debtors; i++) {
-        ls->debtors[i].slots = 0;
+    for (size_t i = 0; i < ls->n_candidates; i++) {
+        ls->candidates[i].slots = 0;
     }
-    while ((l = table_next(&ls->lents, &at, &h)) != NULL) {
+    while ((l = table_next(&ls->loans, &at, &h)) != NULL) {
         const struct upstream *u = upstreams_get(e, l->upstream);
 
         if (u != NULL && u->service == s && l->since_us < before) {
-            debtor_of(ls, l->borrower)->slots += l->slots;
+            candidate_of(ls, l->borrower)->slots += l->slots;
         }
     }
 }
@@ -113,69 +114,70 @@
 lend_recall(struct entry *e, struct service_state *s)
 {
     struct lending *ls = e->dispatch->lending;
-    struct debtor *most = NULL;
+    struct recall_candidate *largest = NULL;
     struct msg m = {.kind = MSG_SLOT_RECALL};
 
-    if (ls->recall_us > e->now.mono_us || ls->lents.n == 0) {
+    if (ls->next_recall_us > e->now.mono_us || ls->loans.n == 0) {
         return;
     }
-    ls->recall_us = e->now.mono_us + spared(e, RECALL_US);
-    count_debts(e, s);
-    for (size_t i = 0; i < ls->n_debtors; i++) {
-        struct debtor *d = &ls->debtors[i];
-
-        if (d->quiet_us <= e->now.mono_us && d->slots > 0 &&
-            (most == NULL || d->slots > most->slots)) {
-            most = d;
+    ls->next_recall_us = e->now.mono_us + scaled_pause(e, RECALL_INTERVAL_US);
+    count_recallable(e, s);
+    for (size_t i = 0; i < ls->n_candidates; i++) {
+        struct recall_candidate *d = &ls->candidates[i];
+
+        if (d->not_before_us <= e->now.mono_us && d->slots > 0 &&
+            (largest == NULL || d->slots > largest->slots)) {
+            largest = d;
         }
     }
-    if (most == NULL) {
+    if (largest == NULL) {
         return;
     }
-    most->quiet_us =
-        e->now.mono_us + entry_jitter(e, spared(e, RECALL_AGAIN_US));
+    largest->not_before_us =
+        e->now.mono_us +
+        entry_jitter(e, scaled_pause(e, BORROWER_INTERVAL_US));
     m.u.slot_recall.service = s->name;
-    entry_send(e, most->borrower, &m);
+    entry_send(e, largest->borrower, &m);
 }
 
 static void
-count_lent(struct upstream *u, const struct lent *l)
+count_loan(struct upstream *u, const struct slot_loan *l)
 {
     u->lent += l->slots;
-    u->used.cpu_milli += l->slots * l->each.cpu_milli;
-    u->used.memory_mb += l->slots * l->each.memory_mb;
-    u->used.accelerators += l->slots * l->each.accelerators;
+    u->used.cpu_milli += l->slots * l->per_slot.cpu_milli;
+    u->used.memory_mb += l->slots * l->per_slot.memory_mb;
+    u->used.accelerators += l->slots * l->per_slot.accelerators;
 }
 
 static void
-uncount_lent(struct upstream *u, const struct lent *l, uint32_t slots)
+uncount_loan(struct upstream *u, const struct slot_loan *l, uint32_t slots)
 {
     u->lent -= slots;
-    u->used.cpu_milli -= slots * l->each.cpu_milli;
-    u->used.memory_mb -= slots * l->each.memory_mb;
-    u->used.accelerators -= slots * l->each.accelerators;
+    u->used.cpu_milli -= slots * l->per_slot.cpu_milli;
+    u->used.memory_mb -= slots * l->per_slot.memory_mb;
+    u->used.accelerators -= slots * l->per_slot.accelerators;
 }
 
 static void
-lend(struct entry *e, struct place *p, struct name borrower,
-     struct resources need, uint32_t slots, struct rec_grant *g)
+add_loan(struct entry *e, struct place *p, struct name borrower,
+         struct resources need, uint32_t slots, struct rec_grant *g)
 {
     struct lending *ls = e->dispatch->lending;
     struct upstream *u = p->upstream;
     struct handle h;
-    struct lent *l = table_add(&ls->lents, &h);
+    struct slot_loan *l = table_add(&ls->loans, &h);
 
     l->self = h;
     l->grant = entry_new_call_id(e);
     l->upstream = u->self;
     l->borrower = borrower;
     l->slots = slots;
-    l->each = need;
+    l->per_slot = need;
     l->since_us = e->now.mono_us;
-    l->ends_us = e->now.mono_us + e->opts.grant_us + LENT_MARGIN_US;
-    map_put(&ls->lent_by_grant, l);
-    timers_add(&ls->lent_timers, l->ends_us, h);
-    count_lent(u, l);
+    l->expires_us = e->now.mono_us + e->opts.grant_us + RETURN_MARGIN_US;
+    map_put(&ls->loan_by_grant, l);
+    timers_add(&ls->loan_timers, l->expires_us, h);
+    count_loan(u, l);
     place_update(e, p);
     e->counters.slots_lent += slots;
     *g = (struct rec_grant){.grant = l->grant,
@@ -192,7 +194,7 @@
 }
 
 static struct place *
-lendable(struct entry *e, struct service_state *s, struct resources need)
+pick_lendable(struct entry *e, struct service_state *s, struct resources need)
 {
     struct pick pick = {.need = need, .idempotent = true};
 
@@ -207,10 +209,10 @@
     }
 }
 
-/** share() - half of an upstream's free slots at a time, so that the tasks of
- * one borrower spread over several */
+/** slots_to_lend() - half of an upstream's free slots at a time, so that the
+ * tasks of one borrower spread over several */
 static uint32_t
-share(uint32_t fits, uint32_t count)
+slots_to_lend(uint32_t fits, uint32_t count)
 {
     uint32_t half = (fits + 1) / 2;
 
@@ -224,7 +226,7 @@
 {
     struct msg m = {.kind = MSG_SLOT_GRANT};
     struct rec_slot_grant *sg = &m.u.slot_grant;
-    uint32_t given = 0;
+    uint32_t granted = 0;
 
     sg->request = request;
     sg->service = s->name;
@@ -232,47 +234,48 @@
     if (sg->grants == NULL) {
         abort();
     }
-    while (given < count) {
-        struct place *p = lendable(e, s, need);
+    while (granted < count) {
+        struct place *p = pick_lendable(e, s, need);
         uint32_t slots;
 
         if (p == NULL) {
             break;
         }
-        slots = share(place_task_capacity(e, p, need), count - given);
-        lend(e, p, to, need, slots, &sg->grants[sg->n_grants++]);
-        given += slots;
+        slots =
+            slots_to_lend(place_task_capacity(e, p, need), count - granted);
+        add_loan(e, p, to, need, slots, &sg->grants[sg->n_grants++]);
+        granted += slots;
     }
-    if (given == 0 && !answer) {
+    if (granted == 0 && !answer) {
         msg_free(&m);
         return 0;
     }
     sg->free_slots = s->pool.own_free_slots;
     entry_send(e, to, &m);
-    return given;
+    return granted;
 }
 
 static void
-end_lent(struct entry *e, struct lent *l)
+end_loan(struct entry *e, struct slot_loan *l)
 {
-    (void)map_remove(&e->dispatch->lending->lent_by_grant, &l->grant);
-    table_remove(&e->dispatch->lending->lents, l->self);
+    (void)map_remove(&e->dispatch->lending->loan_by_grant, &l->grant);
+    table_remove(&e->dispatch->lending->loans, l->self);
 }
 
 /* What a borrower that died, or went silent, had started may still run.  Its
  * slots stay taken as foreign ones until the upstream reports itself less
  * busy, since starts beyond its slots would only be refused. */
 static void
-lent_is_foreign(struct entry *e, struct lent *l)
+count_loan_as_foreign(struct entry *e, struct slot_loan *l)
 {
     struct upstream *u = upstreams_get(e, l->upstream);
 
     if (u != NULL) {
-        uncount_lent(u, l, l->slots);
+        uncount_loan(u, l, l->slots);
         u->foreign_busy += l->slots;
         dispatch_upstream_changed(e, u);
     }
-    end_lent(e, l);
+    end_loan(e, l);
 }
 
 static void
@@ -288,9 +291,10 @@
 }
 
 static void
-on_back(struct entry *e, struct name from, const struct rec_slot_back *b)
+on_returned(struct entry *e, struct name from, const struct rec_slot_back *b)
 {
-    struct lent *l = map_get(&e->dispatch->lending->lent_by_grant, &b->grant);
+    struct slot_loan *l =
+        map_get(&e->dispatch->lending->loan_by_grant, &b->grant);
     struct upstream *u;
     uint32_t slots;
 
@@ -300,7 +304,7 @@
     u = upstreams_get(e, l->upstream);
     slots = b->slots < l->slots ? (uint32_t)b->slots : l->slots;
     if (u != NULL) {
-        uncount_lent(u, l, slots);
+        uncount_loan(u, l, slots);
         report_health(e, u, b);
         if (b->done == 0 && b->failed == 0) {
             borrow_drop_request(e, u->service, from);
@@ -309,7 +313,7 @@
     }
     l->slots -= slots;
     if (l->slots == 0) {
-        end_lent(e, l);
+        end_loan(e, l);
     }
 }
 
@@ -322,12 +326,13 @@
                              (uint32_t)r->accelerators};
     uint32_t count =
         r->count < SLOT_REQUEST_MAX ? (uint32_t)r->count : SLOT_REQUEST_MAX;
-    uint32_t given = 0;
+    uint32_t granted = 0;
 
     if (count > 0) {
-        given = lend_grant(e, s, from, r->request, need, count, r->wait == 0);
+        granted =
+            lend_grant(e, s, from, r->request, need, count, r->wait == 0);
     }
-    borrow_queue_request(e, s, from, r, count - given);
+    borrow_queue_request(e, s, from, r, count - granted);
 }
 
 void
@@ -335,7 +340,7 @@
                const struct rec_slot_return *r)
 {
     for (size_t i = 0; i < r->n_backs; i++) {
-        on_back(e, from, &r->backs[i]);
+        on_returned(e, from, &r->backs[i]);
     }
 }
 
@@ -345,17 +350,17 @@
 lend_void_upstream(struct entry *e, struct handle upstream)
 {
     struct handle h;
-    struct lent *l;
+    struct slot_loan *l;
     uint32_t at = 0;
 
-    while ((l = table_next(&e->dispatch->lending->lents, &at, &h)) != NULL) {
+    while ((l = table_next(&e->dispatch->lending->loans, &at, &h)) != NULL) {
         if (handle_equal(l->upstream, upstream)) {
             struct upstream *u = upstreams_get(e, upstream);
 
             if (u != NULL) {
-                uncount_lent(u, l, l->slots);
+                uncount_loan(u, l, l->slots);
             }
-            end_lent(e, l);
+            end_loan(e, l);
         }
     }
 }
@@ -364,12 +369,12 @@
 lend_member_down(struct entry *e, struct name member)
 {
     struct handle h;
-    struct lent *l;
+    struct slot_loan *l;
     uint32_t at = 0;
 
-    while ((l = table_next(&e->dispatch->lending->lents, &at, &h)) != NULL) {
+    while ((l = table_next(&e->dispatch->lending->loans, &at, &h)) != NULL) {
         if (name_equal(l->borrower, member)) {
-            lent_is_foreign(e, l);
+            count_loan_as_foreign(e, l);
         }
     }
 }
@@ -380,11 +385,11 @@
     struct lending *ls = e->dispatch->lending;
     struct handle h;
 
-    while (timers_pop(&ls->lent_timers, e->now.mono_us, &h)) {
-        struct lent *l = table_get(&ls->lents, h);
+    while (timers_pop(&ls->loan_timers, e->now.mono_us, &h)) {
+        struct slot_loan *l = table_get(&ls->loans, h);
 
         if (l != NULL) {
-            lent_is_foreign(e, l);
+            count_loan_as_foreign(e, l);
         }
     }
 }
@@ -392,5 +397,5 @@
 int64_t
 lend_next_us(const struct entry *e)
 {
-    return timers_next_us(&e->dispatch->lending->lent_timers);
+    return timers_next_us(&e->dispatch->lending->loan_timers);
 }
--- a/src/member.c
+++ b/src/member.c
@@ -12,8 +12,8 @@
 
 enum {
     RENEWED_MAX = 4096,
-    FAR_LOADS = 8,     /* loads in a heartbeat to another zone, on average */
-    FAR_BEATS_MAX = 8, /* heartbeats there for one with loads, at most */
+    REMOTE_LOADS = 8, /* loads in a heartbeat to another zone, on average */
+    REMOTE_BEATS_MAX = 8, /* heartbeats there for one with loads, at most */
 };
 
 struct members {
@@ -24,7 +24,7 @@
     struct rec_upstream_ref *renewed;
     size_t n_renewed;
     int64_t heartbeat_due_us;
-    uint64_t beats;
+    uint64_t n_heartbeats;
 };
 
 static int
@@ -204,14 +204,14 @@
  * full themselves; so the more services there are, the fewer of the
  * heartbeats to other zones carry them. */
 static bool
-far_loads_due(const struct entry *e, size_t n_loads)
+remote_loads_due(const struct entry *e, size_t n_loads)
 {
-    size_t every = (n_loads + FAR_LOADS - 1) / FAR_LOADS;
+    size_t every = (n_loads + REMOTE_LOADS - 1) / REMOTE_LOADS;
 
-    if (every > FAR_BEATS_MAX) {
-        every = FAR_BEATS_MAX;
+    if (every > REMOTE_BEATS_MAX) {
+        every = REMOTE_BEATS_MAX;
     }
-    return every <= 1 || e->members->beats % every == 0;
+    return every <= 1 || e->members->n_heartbeats % every == 0;
 }
 
 static struct msg
@@ -244,9 +244,9 @@
 static void
 send_heartbeats(struct entry *e)
 {
-    struct msg near = make_heartbeat(e, true, true);
-    bool far_loads = far_loads_due(e, near.u.heartbeat.n_loads);
-    struct msg far = make_heartbeat(e, far_loads, false);
+    struct msg local = make_heartbeat(e, true, true);
+    bool remote_loads = remote_loads_due(e, local.u.heartbeat.n_loads);
+    struct msg remote = make_heartbeat(e, remote_loads, false);
     size_t at = 0;
     struct member *to;
 
@@ -256,19 +256,19 @@
         if (to->self) {
             continue;
         }
-        copy = msg_copy(name_equal(to->zone, e->zone) ? &near : &far);
+        copy = msg_copy(name_equal(to->zone, e->zone) ? &local : &remote);
         entry_send(e, to->name, &copy);
         successors_send(e, to->name);
     }
-    msg_free(&near);
-    msg_free(&far);
-    e->members->beats++;
+    msg_free(&local);
+    msg_free(&remote);
+    e->members->n_heartbeats++;
     e->members->n_renewed = 0;
     e->members->heartbeat_due_us = e->now.mono_us + e->opts.heartbeat_us;
 }
 
 static void
-member_lost(struct entry *e, struct member *m, enum reason reason)
+mark_down(struct entry *e, struct member *m, enum reason reason)
 {
     m->up = false;
     m->n_loads = 0;
@@ -279,7 +279,7 @@
 }
 
 static void
-member_came(struct entry *e, struct member *m)
+mark_up(struct entry *e, struct member *m)
 {
     m->up = true;
     entry_log(e, LOG_INFO, REASON_MEMBER_UP, NULL, -1, m->name,
@@ -301,18 +301,18 @@
         m->incarnation = incarnation;
         m->stopping = false;
         if (restarted) {
-            member_lost(e, m, REASON_MEMBER_RESTARTED);
+            mark_down(e, m, REASON_MEMBER_RESTARTED);
         }
     }
     if (!m->up) {
-        member_came(e, m);
+        mark_up(e, m);
     }
     return true;
 }
 
 static void
-take_loads(const struct entry *e, struct member *m,
-           const struct rec_heartbeat *hb)
+store_loads(const struct entry *e, struct member *m,
+            const struct rec_heartbeat *hb)
 {
     struct rec_load *loads = realloc(
         m->loads, (hb->n_loads > 0 ? hb->n_loads : 1) * sizeof(*loads));
@@ -343,7 +343,7 @@
     m->stopping = hb->stopping != 0;
     m->config_version = hb->config_version;
     if (hb->has_loads != 0 || hb->n_loads > 0) {
-        take_loads(e, m, hb);
+        store_loads(e, m, hb);
     }
     if (m->stopping != was_stopping) {
         upstreams_on_members_changed(e);
@@ -388,7 +388,7 @@
     while ((m = members_next(e, &at)) != NULL) {
         if (!m->self && m->up &&
             e->now.mono_us - m->heard_us >= e->opts.member_timeout_us) {
-            member_lost(e, m, REASON_MEMBER_DOWN);
+            mark_down(e, m, REASON_MEMBER_DOWN);
             lost = true;
         }
     }
--- a/src/quota.c
+++ b/src/quota.c
@@ -5,23 +5,24 @@
 
 #include "member.h"
 
-#define SHARE_US (250 * USEC_PER_MSEC) /* between looks at the heartbeats */
-#define TURN_US (1 * USEC_PER_SEC)     /* fractions of slots go round */
+#define DIVIDE_INTERVAL_US                                                    \
+    (250 * USEC_PER_MSEC)              /* between looks at the heartbeats */
+#define ROTATION_US (1 * USEC_PER_SEC) /* fractions of slots go round */
 
-static const double BURST_S = 0.25; /* starts saved up at most, in seconds */
+static const double BUCKET_S = 0.25; /* starts saved up at most, in seconds */
 
 /** struct quota - this instance's share of one limit */
 struct quota {
     struct name name; /* of the team or service */
     bool of_team;
-    uint32_t max_running;  /* in the region; 0: no limit */
-    uint32_t starts_per_s; /* in the region; 0: no limit */
-    uint32_t running;      /* from here */
-    uint32_t running_most; /* our share of max_running */
-    double rate;           /* our share of starts_per_s */
-    double tokens;         /* starts that may be made */
-    int64_t filled_us;
-    bool held_back; /* something waits for it */
+    uint32_t max_running;   /* in the region; 0: no limit */
+    uint32_t starts_per_s;  /* in the region; 0: no limit */
+    uint32_t running;       /* from here */
+    uint32_t running_share; /* our share of max_running */
+    double rate;            /* our share of starts_per_s */
+    double tokens;          /* starts that may be made */
+    int64_t refilled_us;
+    bool blocked; /* something waits for it */
 };
 
 struct quotas {
@@ -52,7 +53,7 @@
 /* Shares */
 
 static bool
-concerns(const struct entry *e, const struct quota *q, struct name service)
+applies_to(const struct entry *e, const struct quota *q, struct name service)
 {
     const struct service_conf *conf;
 
@@ -63,34 +64,34 @@
     return conf != NULL && name_equal(conf->team, q->name);
 }
 
-/** wanted_by() - tasks of the limit's services that a member runs or has
+/** demand_of() - tasks of the limit's services that a member runs or has
  * queued; our own from what we know now, others' from their heartbeats */
 static double
-wanted_by(const struct entry *e, const struct quota *q, const struct member *m)
+demand_of(const struct entry *e, const struct quota *q, const struct member *m)
 {
     const struct dispatch *d = e->dispatch;
-    double wanted = 0;
+    double demand = 0;
 
     for (size_t i = 0; m->self && i < d->n_services; i++) {
         const struct service_state *s = d->services[i];
 
-        if (concerns(e, q, s->name)) {
-            wanted += (double)s->n_running + (double)s->n_queued;
+        if (applies_to(e, q, s->name)) {
+            demand += (double)s->n_running + (double)s->n_queued;
         }
     }
     for (size_t i = 0; !m->self && i < m->n_loads; i++) {
         const struct rec_load *l = &m->loads[i];
 
-        if (concerns(e, q, l->service)) {
-            wanted += (double)l->running + (double)l->backlog;
+        if (applies_to(e, q, l->service)) {
+            demand += (double)l->running + (double)l->backlog;
         }
     }
-    return wanted;
+    return demand;
 }
 
-/** reachable_part() - of every limit: zones where nobody is up keep theirs */
+/** reachable_share() - of every limit: zones where nobody is up keep theirs */
 static double
-reachable_part(const struct entry *e)
+reachable_share(const struct entry *e)
 {
     size_t n_zones;
     const struct name *zones = members_zones(e, &n_zones);
@@ -115,15 +116,15 @@
     double own;    /* our part */
 };
 
-/** part_of() - in proportion to what is wanted where that is more than there
- * is; else each gets what it wants and an even part of the rest */
+/** member_part() - in proportion to what is wanted where that is more than
+ * there is; else each gets what it wants and an even part of the rest */
 static double
-part_of(double wanted, double all_wanted, double limit, size_t n)
+member_part(double demand, double total_demand, double limit, size_t n)
 {
-    if (all_wanted > limit) {
-        return wanted / all_wanted;
+    if (total_demand > limit) {
+        return demand / total_demand;
     }
-    return (wanted + (limit - all_wanted) / (double)n) / limit;
+    return (demand + (limit - total_demand) / (double)n) / limit;
 }
 
 static struct division
@@ -134,11 +135,11 @@
     double all = 0;
     size_t n = 0;
     size_t at = 0;
-    bool met_self = false;
+    bool passed_self = false;
 
     while ((m = members_next(e, &at)) != NULL) {
         if (m->up || m->self) {
-            all += wanted_by(e, q, m);
+            all += demand_of(e, q, m);
             n++;
         }
     }
@@ -149,22 +150,22 @@
         if (!m->up && !m->self) {
             continue;
         }
-        part = part_of(wanted_by(e, q, m), all, limit, n);
-        met_self = met_self || m->self;
-        d.before += met_self ? 0 : part;
+        part = member_part(demand_of(e, q, m), all, limit, n);
+        passed_self = passed_self || m->self;
+        d.before += passed_self ? 0 : part;
         d.own += m->self ? part : 0;
     }
     return d;
 }
 
-/** whole_slots() - rounds the parts so that their sum is the limit.  Which
+/** round_slots() - rounds the parts so that their sum is the limit.  Which
  * instances get the odd slots changes each second: with a limit below the
  * number of instances some would otherwise never start anything. */
 static uint32_t
-whole_slots(const struct entry *e, const struct division *d, double limit)
+round_slots(const struct entry *e, const struct division *d, double limit)
 {
     double golden = 0.6180339887498949;
-    double turn = (double)(e->now.wall_us / TURN_US % 1000) * golden;
+    double turn = (double)(e->now.wall_us / ROTATION_US % 1000) * golden;
     double offset = turn - (double)(int64_t)turn;
     int64_t from = (int64_t)(d->before * limit + offset);
     int64_t to = (int64_t)((d->before + d->own) * limit + offset);
@@ -173,15 +174,15 @@
 }
 
 static void
-share_out(struct entry *e, struct quota *q)
+divide_quota(struct entry *e, struct quota *q)
 {
-    double part = reachable_part(e);
+    double part = reachable_share(e);
 
     if (q->max_running > 0) {
         double limit = part * (double)q->max_running;
         struct division d = divide(e, q, limit);
 
-        q->running_most = whole_slots(e, &d, limit);
+        q->running_share = round_slots(e, &d, limit);
     }
     if (q->starts_per_s > 0) {
         double limit = part * (double)q->starts_per_s;
@@ -207,15 +208,15 @@
 }
 
 static void
-add(struct entry *e, struct quotas *qs, struct quota q)
+add_quota(struct entry *e, struct quotas *qs, struct quota q)
 {
-    q.filled_us = e->now.mono_us;
+    q.refilled_us = e->now.mono_us;
     q.tokens = 1;
     qs->items[qs->n++] = q;
 }
 
 static void
-collect(struct entry *e, struct quotas *qs)
+read_limits(struct entry *e, struct quotas *qs)
 {
     const struct config *c = e->config;
 
@@ -223,20 +224,20 @@
         const struct team_conf *t = &c->teams[i];
 
         if (t->max_running > 0 || t->starts_per_s > 0) {
-            add(e, qs,
-                (struct quota){.name = t->name,
-                               .of_team = true,
-                               .max_running = t->max_running,
-                               .starts_per_s = t->starts_per_s});
+            add_quota(e, qs,
+                      (struct quota){.name = t->name,
+                                     .of_team = true,
+                                     .max_running = t->max_running,
+                                     .starts_per_s = t->starts_per_s});
         }
     }
     for (size_t i = 0; i < c->n_services; i++) {
         const struct service_conf *s = &c->services[i];
 
         if (s->max_running > 0) {
-            add(e, qs,
-                (struct quota){.name = s->name,
-                               .max_running = s->max_running});
+            add_quota(e, qs,
+                      (struct quota){.name = s->name,
+                                     .max_running = s->max_running});
         }
     }
 }
@@ -273,7 +274,7 @@
         abort();
     }
     qs->n = 0;
-    collect(e, qs);
+    read_limits(e, qs);
     for (size_t i = 0; i < d->n_services; i++) {
         quotas_attach(e, d->services[i]);
     }
@@ -284,31 +285,31 @@
 /* Use */
 
 static void
-fill(struct entry *e, struct quota *q)
+refill_tokens(struct entry *e, struct quota *q)
 {
-    double most = q->rate * BURST_S;
-    double seconds = (double)(e->now.mono_us - q->filled_us) / USEC_PER_SEC;
+    double bucket_size = q->rate * BUCKET_S;
+    double seconds = (double)(e->now.mono_us - q->refilled_us) / USEC_PER_SEC;
 
-    most = most > 1 ? most : 1;
+    bucket_size = bucket_size > 1 ? bucket_size : 1;
     q->tokens += seconds * q->rate;
-    q->tokens = q->tokens < most ? q->tokens : most;
-    q->filled_us = e->now.mono_us;
+    q->tokens = q->tokens < bucket_size ? q->tokens : bucket_size;
+    q->refilled_us = e->now.mono_us;
 }
 
 static bool
-allows(struct entry *e, struct quota *q)
+quota_allows(struct entry *e, struct quota *q)
 {
     if (q == NULL) {
         return true;
     }
-    if (q->max_running > 0 && q->running >= q->running_most) {
-        q->held_back = true;
+    if (q->max_running > 0 && q->running >= q->running_share) {
+        q->blocked = true;
         return false;
     }
     if (q->starts_per_s == 0) {
         return true;
     }
-    fill(e, q);
+    refill_tokens(e, q);
     if (q->tokens >= 1) {
         return true;
     }
@@ -318,18 +319,18 @@
         dispatch_run_at(e,
                         e->now.mono_us + 1 + (int64_t)(wait_s * USEC_PER_SEC));
     }
-    q->held_back = true;
+    q->blocked = true;
     return false;
 }
 
 bool
 quotas_allow_start(struct entry *e, struct service_state *s)
 {
-    return allows(e, s->quota) && allows(e, s->team_quota);
+    return quota_allows(e, s->quota) && quota_allows(e, s->team_quota);
 }
 
 static void
-started(struct quota *q)
+count_started(struct quota *q)
 {
     if (q != NULL) {
         q->running++;
@@ -341,12 +342,12 @@
 quotas_task_started(struct entry *e, struct service_state *s)
 {
     (void)e;
-    started(s->quota);
-    started(s->team_quota);
+    count_started(s->quota);
+    count_started(s->team_quota);
 }
 
 static void
-wake_team(struct entry *e, const struct quota *q)
+wake_services(struct entry *e, const struct quota *q)
 {
     struct dispatch *d = e->dispatch;
 
@@ -358,39 +359,39 @@
 }
 
 static void
-ended(struct entry *e, struct quota *q)
+count_ended(struct entry *e, struct quota *q)
 {
     if (q == NULL) {
         return;
     }
     q->running--;
-    if (q->held_back) {
-        q->held_back = false;
-        wake_team(e, q);
+    if (q->blocked) {
+        q->blocked = false;
+        wake_services(e, q);
     }
 }
 
 void
 quotas_task_ended(struct entry *e, struct service_state *s)
 {
-    ended(e, s->quota);
-    ended(e, s->team_quota);
+    count_ended(e, s->quota);
+    count_ended(e, s->team_quota);
 }
 
 static uint32_t
-slots_of(const struct quota *q)
+quota_max_slots(const struct quota *q)
 {
     if (q == NULL || q->max_running == 0) {
         return UINT32_MAX;
     }
-    return q->running_most;
+    return q->running_share;
 }
 
 uint32_t
 quotas_max_slots(struct entry *e, const struct service_state *s)
 {
-    uint32_t a = slots_of(s->quota);
-    uint32_t b = slots_of(s->team_quota);
+    uint32_t a = quota_max_slots(s->quota);
+    uint32_t b = quota_max_slots(s->team_quota);
 
     (void)e;
     return a < b ? a : b;
@@ -404,12 +405,12 @@
     if (qs->next_us > e->now.mono_us) {
         return;
     }
-    qs->next_us = e->now.mono_us + SHARE_US;
+    qs->next_us = e->now.mono_us + DIVIDE_INTERVAL_US;
     for (size_t i = 0; i < qs->n; i++) {
-        share_out(e, &qs->items[i]);
-        if (qs->items[i].held_back) {
-            qs->items[i].held_back = false;
-            wake_team(e, &qs->items[i]);
+        divide_quota(e, &qs->items[i]);
+        if (qs->items[i].blocked) {
+            qs->items[i].blocked = false;
+            wake_services(e, &qs->items[i]);
         }
     }
 }
--- a/src/slot.c
+++ b/src/slot.c
@@ -9,24 +9,26 @@
 #include "lend.h"
 #include "upstream.h"
 
-#define IDLE_US (2 * USEC_PER_SEC)    /* before a slot goes back unasked */
-#define FLUSH_US (20 * USEC_PER_MSEC) /* returns wait for others */
-#define LOOK_US (500 * USEC_PER_MSEC) /* between looks at idle slots */
-
-/** struct backs - slots to be returned to one lender */
-struct backs {
+#define IDLE_RETURN_US (2 * USEC_PER_SEC) /* before a slot goes back unasked  \
+                                           */
+#define RETURN_BATCH_US (20 * USEC_PER_MSEC) /* returns wait for others */
+#define CHECK_INTERVAL_US                                                     \
+    (500 * USEC_PER_MSEC) /* between looks at idle slots */
+
+/** struct slot_returns - slots to be returned to one lender */
+struct slot_returns {
     struct name lender;
     struct rec_slot_back *items;
     size_t n;
-    size_t room;
+    size_t capacity;
 };
 
 struct slots {
     struct table places;
-    struct backs backs[INSTANCES_MAX];
-    size_t n_backs;
-    int64_t flush_us; /* when returns are sent */
-    int64_t idle_us;  /* when borrowed slots may have been idle for long */
+    struct slot_returns returns[INSTANCES_MAX];
+    size_t n_returns;
+    int64_t send_us;  /* when returns are sent */
+    int64_t check_us; /* when borrowed slots may have been idle for long */
 };
 
 struct slots *
@@ -39,8 +41,8 @@
         abort();
     }
     table_init(&sl->places, sizeof(struct place));
-    sl->idle_us = INT64_MAX;
-    sl->flush_us = INT64_MAX;
+    sl->check_us = INT64_MAX;
+    sl->send_us = INT64_MAX;
     return sl;
 }
 
@@ -50,8 +52,8 @@
     if (sl == NULL) {
         return;
     }
-    for (size_t i = 0; i < sl->n_backs; i++) {
-        free(sl->backs[i].items);
+    for (size_t i = 0; i < sl->n_returns; i++) {
+        free(sl->returns[i].items);
     }
     table_clear(&sl->places);
     free(sl);
@@ -77,7 +79,7 @@
 }
 
 static struct place *
-new_place(struct entry *e, struct upstream *u)
+add_place(struct entry *e, struct upstream *u)
 {
     struct handle h;
     struct place *p = table_add(&e->slots->places, &h);
@@ -94,7 +96,7 @@
 void
 slots_add_own(struct entry *e, struct service_state *s, struct upstream *u)
 {
-    struct place *p = new_place(e, u);
+    struct place *p = add_place(e, u);
 
     p->name = u->name;
     p->zone = u->info.zone;
@@ -104,24 +106,24 @@
     pool_add(e, &s->pool, p);
 }
 
-static struct backs *
-backs_of(struct slots *sl, struct name lender)
+static struct slot_returns *
+returns_to(struct slots *sl, struct name lender)
 {
-    for (size_t i = 0; i < sl->n_backs; i++) {
-        if (name_equal(sl->backs[i].lender, lender)) {
-            return &sl->backs[i];
+    for (size_t i = 0; i < sl->n_returns; i++) {
+        if (name_equal(sl->returns[i].lender, lender)) {
+            return &sl->returns[i];
         }
     }
-    sl->backs[sl->n_backs].lender = lender;
-    return &sl->backs[sl->n_backs++];
+    sl->returns[sl->n_returns].lender = lender;
+    return &sl->returns[sl->n_returns++];
 }
 
 static void
-give_back(struct entry *e, struct place *p, uint32_t slots)
+queue_return(struct entry *e, struct place *p, uint32_t slots)
 {
-    struct backs *b = backs_of(e->slots, p->lender);
+    struct slot_returns *b = returns_to(e->slots, p->lender);
 
-    b->items = array_grow(b->items, b->n, &b->room, sizeof(*b->items));
+    b->items = array_grow(b->items, b->n, &b->capacity, sizeof(*b->items));
     b->items[b->n++] = (struct rec_slot_back){.grant = p->grant_id,
                                               .slots = slots,
                                               .failed = p->failures,
@@ -130,39 +132,40 @@
     p->unreported_successes = 0;
 }
 
-/** wake_by() - looks are taken at fixed times, so that what falls due between
- * two of them goes back in one message to each lender */
+/** schedule_check() - looks are taken at fixed times, so that what falls due
+ * between two of them goes back in one message to each lender */
 static void
-wake_by(struct entry *e, int64_t us)
+schedule_check(struct entry *e, int64_t us)
 {
     if (us == INT64_MAX) {
         return;
     }
-    us = (us / LOOK_US + 1) * LOOK_US;
-    if (us < e->slots->idle_us) {
-        e->slots->idle_us = us;
+    us = (us / CHECK_INTERVAL_US + 1) * CHECK_INTERVAL_US;
+    if (us < e->slots->check_us) {
+        e->slots->check_us = us;
     }
 }
 
-/** shed() - what is idle at a closed place goes back soon, with others */
+/** return_idle() - what is idle at a closed place goes back soon, with others
+ */
 static void
-shed(struct entry *e, struct place *p)
+return_idle(struct entry *e, struct place *p)
 {
-    int64_t soon = e->now.mono_us + FLUSH_US;
+    int64_t soon = e->now.mono_us + RETURN_BATCH_US;
 
     if (place_is_own(p) || p->slots <= p->slots_used) {
         return;
     }
-    give_back(e, p, p->slots - p->slots_used);
-    if (soon < e->slots->flush_us) {
-        e->slots->flush_us = soon;
+    queue_return(e, p, p->slots - p->slots_used);
+    if (soon < e->slots->send_us) {
+        e->slots->send_us = soon;
     }
 }
 
 static void
 remove_place(struct entry *e, struct place *p)
 {
-    shed(e, p);
+    return_idle(e, p);
     if (p->upstream != NULL && p->upstream->place == p) {
         p->upstream->place = NULL;
     }
@@ -181,7 +184,7 @@
         remove_place(e, p);
         return;
     }
-    shed(e, p);
+    return_idle(e, p);
     place_update(e, p);
 }
 
@@ -200,10 +203,10 @@
         return;
     }
     if (p->closed) {
-        shed(e, p);
+        return_idle(e, p);
         return;
     }
-    wake_by(e, e->now.mono_us + IDLE_US);
+    schedule_check(e, e->now.mono_us + IDLE_RETURN_US);
 }
 
 void
@@ -217,13 +220,13 @@
 /* Borrowed slots: coming, idle, going */
 
 static void
-flush_backs(struct entry *e)
+send_returns(struct entry *e)
 {
     struct slots *sl = e->slots;
 
-    sl->flush_us = INT64_MAX;
-    for (size_t i = 0; i < sl->n_backs; i++) {
-        struct backs *b = &sl->backs[i];
+    sl->send_us = INT64_MAX;
+    for (size_t i = 0; i < sl->n_returns; i++) {
+        struct slot_returns *b = &sl->returns[i];
         struct msg m = {.kind = MSG_SLOT_RETURN};
 
         if (b->n == 0) {
@@ -234,17 +237,17 @@
         entry_send(e, b->lender, &m);
         b->items = NULL;
         b->n = 0;
-        b->room = 0;
+        b->capacity = 0;
     }
 }
 
-/** look_at_borrowed() - closes what has expired, returns what has been idle
+/** check_borrowed() - closes what has expired, returns what has been idle
  * for @idle_us; the time to look again */
 static int64_t
-look_at_borrowed(struct entry *e, struct place *p, int64_t idle_us)
+check_borrowed(struct entry *e, struct place *p, int64_t idle_us)
 {
     int64_t now = e->now.mono_us;
-    int64_t idle_end = p->last_used_us + idle_us;
+    int64_t return_us = p->last_used_us + idle_us;
 
     if (p->closed) {
         return INT64_MAX;
@@ -256,33 +259,33 @@
     if (p->slots_used == p->slots) {
         return p->expires_us;
     }
-    if (idle_end > now) {
-        return idle_end < p->expires_us ? idle_end : p->expires_us;
+    if (return_us > now) {
+        return return_us < p->expires_us ? return_us : p->expires_us;
     }
     if (p->slots_used == 0) {
         slots_close_place(e, p);
         return INT64_MAX;
     }
-    give_back(e, p, p->slots - p->slots_used);
+    queue_return(e, p, p->slots - p->slots_used);
     place_update(e, p);
     return p->expires_us;
 }
 
 static void
-look_at_all(struct entry *e)
+check_all_borrowed(struct entry *e)
 {
     struct slots *sl = e->slots;
     struct handle h;
     struct place *p;
     uint32_t at = 0;
 
-    sl->idle_us = INT64_MAX;
+    sl->check_us = INT64_MAX;
     while ((p = table_next(&sl->places, &at, &h)) != NULL) {
         if (!place_is_own(p)) {
-            wake_by(e, look_at_borrowed(e, p, IDLE_US));
+            schedule_check(e, check_borrowed(e, p, IDLE_RETURN_US));
         }
     }
-    flush_backs(e);
+    send_returns(e);
 }
 
 static void
@@ -295,7 +298,7 @@
     if (u != NULL && u->info.incarnation != g->incarnation) {
         u = NULL;
     }
-    p = new_place(e, u);
+    p = add_place(e, u);
     p->name = g->upstream;
     p->zone = g->zone;
     p->address = g->address;
@@ -310,7 +313,7 @@
     p->expires_us = e->now.mono_us + (int64_t)g->duration_us;
     p->closed = u != NULL && u->info.epoch > g->epoch;
     pool_add(e, &s->pool, p);
-    wake_by(e, e->now.mono_us + IDLE_US);
+    schedule_check(e, e->now.mono_us + IDLE_RETURN_US);
     e->counters.slots_borrowed += g->slots;
 }
 
@@ -344,10 +347,10 @@
     while ((p = table_next(&e->slots->places, &at, &h)) != NULL) {
         if (!place_is_own(p) && p->pool == &s->pool &&
             name_equal(p->lender, from)) {
-            (void)look_at_borrowed(e, p, 0);
+            (void)check_borrowed(e, p, 0);
         }
     }
-    flush_backs(e);
+    send_returns(e);
 }
 
 void
@@ -433,11 +436,11 @@
     struct slots *sl = e->slots;
 
     lend_tick(e);
-    if (sl->idle_us <= e->now.mono_us) {
-        look_at_all(e);
+    if (sl->check_us <= e->now.mono_us) {
+        check_all_borrowed(e);
     }
-    if (sl->flush_us <= e->now.mono_us) {
-        flush_backs(e);
+    if (sl->send_us <= e->now.mono_us) {
+        send_returns(e);
     }
 }
 
@@ -447,6 +450,6 @@
     const struct slots *sl = e->slots;
     int64_t next = lend_next_us(e);
 
-    next = sl->idle_us < next ? sl->idle_us : next;
-    return sl->flush_us < next ? sl->flush_us : next;
+    next = sl->check_us < next ? sl->check_us : next;
+    return sl->send_us < next ? sl->send_us : next;
 }
--- a/src/start.c
+++ b/src/start.c
@@ -13,15 +13,17 @@
 #include "upstream.h"
 
 enum {
-    SILENT_TIMES = 4,   /* 95th percentiles after which a start is silent */
-    SILENT_LONGEST = 2, /* the same with 99th percentiles */
-    ASK_SHARE = 4,      /* of the time to the deadline, left for questions */
-    ASK_TRIES = 6,      /* questions that reached nobody, before giving up */
-    ASK_DOUBLINGS = 4,
+    TAIL_TIMEOUT_FACTOR =
+        4, /* 95th percentiles after which a start is silent */
+    LONGEST_TIMEOUT_FACTOR = 2, /* the same with 99th percentiles */
+    REVOKE_TIME_DIVISOR =
+        4,                /* of the time to the deadline, left for questions */
+    REVOKE_TRIES_MIN = 6, /* questions that reached nobody, before giving up */
+    REVOKE_DOUBLINGS_MAX = 4,
 };
 
-#define SILENT_MIN_US (1 * USEC_PER_SEC)
-#define ASK_FIRST_US (200 * USEC_PER_MSEC)
+#define START_TIMEOUT_MIN_US (1 * USEC_PER_SEC)
+#define REVOKE_BACKOFF_US (200 * USEC_PER_MSEC)
 
 /** struct start - one start in flight */
 struct start {
@@ -33,7 +35,7 @@
     struct service_state *service;
     struct key_id key;
     uint32_t index;
-    uint32_t tries; /* questions that reached nobody */
+    uint32_t failed_revokes; /* questions that reached nobody */
     struct name name;
     struct address address;
     uint64_t incarnation;
@@ -44,12 +46,12 @@
     int64_t expected_us;
     int64_t sent_us;
     int64_t deadline_us;
-    uint64_t question; /* call of the revoke on its way; 0: none */
-    int64_t ask_us;    /* when to ask; 0: not planned */
+    uint64_t revoke_call; /* call of the revoke on its way; 0: none */
+    int64_t revoke_us;    /* when to ask; 0: not planned */
 };
 
-/** struct question - a revoke on its way */
-struct question {
+/** struct revoke_call - a revoke on its way */
+struct revoke_call {
     uint64_t call; /* first: looked up by it */
     struct handle self;
     struct handle start;
@@ -58,8 +60,8 @@
 struct starts {
     struct table table;
     struct map by_call;
-    struct table questions;
-    struct map question_by_call;
+    struct table revoke_calls;
+    struct map revoke_by_call;
     struct timers timers;
 };
 
@@ -73,8 +75,8 @@
     }
     table_init(&ss->table, sizeof(struct start));
     map_init(&ss->by_call, MAP_U64);
-    table_init(&ss->questions, sizeof(struct question));
-    map_init(&ss->question_by_call, MAP_U64);
+    table_init(&ss->revoke_calls, sizeof(struct revoke_call));
+    map_init(&ss->revoke_by_call, MAP_U64);
     return ss;
 }
 
@@ -83,8 +85,8 @@
 {
     map_clear(&ss->by_call);
     table_clear(&ss->table);
-    map_clear(&ss->question_by_call);
-    table_clear(&ss->questions);
+    map_clear(&ss->revoke_by_call);
+    table_clear(&ss->revoke_calls);
     timers_clear(&ss->timers);
     free(ss);
 }
@@ -135,7 +137,7 @@
 }
 
 static void
-give_slot(struct entry *e, struct start *s)
+free_slot(struct entry *e, struct start *s)
 {
     struct upstream *u = upstreams_get(e, s->upstream);
     struct place *p = slots_get_place(e, s->place);
@@ -161,7 +163,7 @@
 }
 
 static int64_t
-longer(int64_t a, int64_t b)
+max_us(int64_t a, int64_t b)
 {
     return a > b ? a : b;
 }
@@ -170,26 +172,26 @@
  * after the job's deadline it is of no use: the caller was told "unknown" of a
  * task that ran.  So the question goes out while some of the time is left. */
 static int64_t
-before_deadline(const struct entry *e, const struct start *s)
+latest_timeout(const struct entry *e, const struct start *s)
 {
     int64_t left = s->deadline_us - e->now.mono_us;
 
-    return longer(left - left / ASK_SHARE, SILENT_MIN_US);
+    return max_us(left - left / REVOKE_TIME_DIVISOR, START_TIMEOUT_MIN_US);
 }
 
-/** silent_after() - a question too early costs a message, one too late costs
+/** start_timeout() - a question too early costs a message, one too late costs
  * the caller's time */
 static int64_t
-silent_after(const struct entry *e, const struct start *s)
+start_timeout(const struct entry *e, const struct start *s)
 {
-    int64_t latest = before_deadline(e, s);
+    int64_t latest = latest_timeout(e, s);
     const struct run_estimate *l = &s->service->run_estimate;
-    int64_t us = SILENT_TIMES * estimate_p95_us(l, s->declared_us);
+    int64_t us = TAIL_TIMEOUT_FACTOR * estimate_p95_us(l, s->declared_us);
 
-    us = longer(us, SILENT_LONGEST *
+    us = max_us(us, LONGEST_TIMEOUT_FACTOR *
                         estimate_longest_us(l, JOB_TASKS_MAX, s->declared_us));
-    us = longer(us, s->declared_us);
-    us = longer(us, SILENT_MIN_US);
+    us = max_us(us, s->declared_us);
+    us = max_us(us, START_TIMEOUT_MIN_US);
     return us < latest ? us : latest;
 }
 
@@ -206,7 +208,7 @@
     f->key = s->key;
     f->index = s->index;
     f->payload = blob_ref(payload);
-    f->silence_timeout_us = silent_after(e, s);
+    f->silence_timeout_us = start_timeout(e, s);
     e->counters.tasks_started++;
 }
 
@@ -257,40 +259,40 @@
 /* Questions */
 
 static void
-drop_question(struct starts *ss, struct start *s)
+drop_revoke_call(struct starts *ss, struct start *s)
 {
-    struct question *q;
+    struct revoke_call *r;
 
-    if (s->question == 0) {
+    if (s->revoke_call == 0) {
         return;
     }
-    q = map_remove(&ss->question_by_call, &s->question);
-    s->question = 0;
-    if (q != NULL) {
-        table_remove(&ss->questions, q->self);
+    r = map_remove(&ss->revoke_by_call, &s->revoke_call);
+    s->revoke_call = 0;
+    if (r != NULL) {
+        table_remove(&ss->revoke_calls, r->self);
     }
 }
 
 static void
-ask(struct entry *e, struct start *s)
+send_revoke(struct entry *e, struct start *s)
 {
     struct starts *ss = starts_of(e);
     struct ef_revoke *f;
-    struct question *q;
+    struct revoke_call *r;
     struct handle h;
 
-    if (s->question != 0) {
+    if (s->revoke_call != 0) {
         return;
     }
-    q = table_add(&ss->questions, &h);
-    q->call = entry_new_call_id(e);
-    q->self = h;
-    q->start = s->self;
-    map_put(&ss->question_by_call, q);
-    s->question = q->call;
-    s->ask_us = 0;
+    r = table_add(&ss->revoke_calls, &h);
+    r->call = entry_new_call_id(e);
+    r->self = h;
+    r->start = s->self;
+    map_put(&ss->revoke_by_call, r);
+    s->revoke_call = r->call;
+    s->revoke_us = 0;
     f = &effects_add(e->fx, EF_REVOKE)->u.revoke;
-    f->call = q->call;
+    f->call = r->call;
     f->upstream = s->name;
     f->address = s->address;
     f->incarnation = s->incarnation;
@@ -300,12 +302,15 @@
 }
 
 static void
-ask_later(struct entry *e, struct start *s)
+schedule_revoke(struct entry *e, struct start *s)
 {
-    uint32_t doublings = s->tries < ASK_DOUBLINGS ? s->tries : ASK_DOUBLINGS;
+    uint32_t doublings = s->failed_revokes < REVOKE_DOUBLINGS_MAX
+                             ? s->failed_revokes
+                             : REVOKE_DOUBLINGS_MAX;
 
-    s->ask_us = e->now.mono_us + entry_jitter(e, ASK_FIRST_US << doublings);
-    timers_add(&starts_of(e)->timers, s->ask_us, s->self);
+    s->revoke_us =
+        e->now.mono_us + entry_jitter(e, REVOKE_BACKOFF_US << doublings);
+    timers_add(&starts_of(e)->timers, s->revoke_us, s->self);
 }
 
 /* Ends */
@@ -318,8 +323,8 @@
     struct starts *ss = starts_of(e);
     struct job *job = jobs_by_handle(e, s->job);
 
-    drop_question(ss, s);
-    give_slot(e, s);
+    drop_revoke_call(ss, s);
+    free_slot(e, s);
     if (job != NULL) {
         job->tasks[s->index].start = (struct handle){0};
         job->n_sent--;
@@ -330,7 +335,7 @@
 }
 
 static void
-note_ok(struct entry *e, struct start *s, int64_t ran_us)
+record_success(struct entry *e, struct start *s, int64_t ran_us)
 {
     struct upstream *u = upstreams_get(e, s->upstream);
     struct place *p = slots_get_place(e, s->place);
@@ -351,7 +356,7 @@
 }
 
 static void
-note_failed(struct entry *e, struct start *s)
+record_failure(struct entry *e, struct start *s)
 {
     struct upstream *u = upstreams_get(e, s->upstream);
     struct place *p = slots_get_place(e, s->place);
@@ -369,7 +374,7 @@
  * longer with each refusal in a row; one that refuses everything is so tried
  * ever more rarely. */
 static void
-note_refused(struct entry *e, struct start *s)
+record_refusal(struct entry *e, struct start *s)
 {
     struct place *p = slots_get_place(e, s->place);
 
@@ -381,7 +386,7 @@
 }
 
 static void
-note_stale(struct entry *e, struct start *s)
+record_stale(struct entry *e, struct start *s)
 {
     struct upstream *u = upstreams_get(e, s->upstream);
     struct place *p = slots_get_place(e, s->place);
@@ -402,10 +407,10 @@
     struct job *job;
 
     if (ok) {
-        note_ok(e, s, ran_us);
+        record_success(e, s, ran_us);
     }
     else {
-        note_failed(e, s);
+        record_failure(e, s);
     }
     job = end_start(e, s);
     if (job == NULL) {
@@ -439,7 +444,7 @@
 
     entry_log(e, LOG_WARNING, REASON_OUTCOME_LOST, &s->key, (int32_t)s->index,
               s->name, "incarnation %llu, not reached %u times",
-              (unsigned long long)s->incarnation, s->tries);
+              (unsigned long long)s->incarnation, s->failed_revokes);
     if (job != NULL) {
         jobs_fail(e, job, REASON_OUTCOME_LOST);
     }
@@ -464,39 +469,40 @@
         break;
     case START_REFUSED:
         e->counters.starts_refused++;
-        note_refused(e, s);
+        record_refusal(e, s);
         end_not_started(e, s, false);
         break;
     case START_NO_CONNECT:
         e->counters.starts_refused++;
-        note_refused(e, s);
-        note_failed(e, s);
+        record_refusal(e, s);
+        record_failure(e, s);
         end_not_started(e, s, true);
         break;
     case START_STALE:
         e->counters.starts_refused++;
-        note_stale(e, s);
+        record_stale(e, s);
         end_not_started(e, s, true);
         break;
     case START_LOST:
     default:
         e->counters.starts_lost++;
-        note_failed(e, s);
+        record_failure(e, s);
         if (MUTANT(e, RESTART_LOST)) {
             end_not_started(e, s, true);
             break;
         }
-        ask(e, s);
+        send_revoke(e, s);
         break;
     }
 }
 
 static void
-on_unreachable(struct entry *e, struct start *s)
+on_revoke_failed(struct entry *e, struct start *s)
 {
-    s->tries++;
-    if (s->tries < ASK_TRIES || e->now.mono_us < s->deadline_us) {
-        ask_later(e, s);
+    s->failed_revokes++;
+    if (s->failed_revokes < REVOKE_TRIES_MIN ||
+        e->now.mono_us < s->deadline_us) {
+        schedule_revoke(e, s);
         return;
     }
     end_unknown(e, s);
@@ -506,14 +512,14 @@
 starts_on_revoked(struct entry *e, const struct ev_revoked *ev)
 {
     struct starts *ss = starts_of(e);
-    struct question *q = map_get(&ss->question_by_call, &ev->call);
-    struct start *s = q != NULL ? table_get(&ss->table, q->start) : NULL;
+    struct revoke_call *r = map_get(&ss->revoke_by_call, &ev->call);
+    struct start *s = r != NULL ? table_get(&ss->table, r->start) : NULL;
 
     if (s == NULL) {
         e->counters.outcomes_dropped++;
         return;
     }
-    drop_question(ss, s);
+    drop_revoke_call(ss, s);
     switch (ev->outcome) {
     case REVOKE_NEVER:
         end_not_started(e, s, true);
@@ -522,11 +528,11 @@
         end_done(e, s, ev->ok, ev->result, 0);
         break;
     case REVOKE_RUNNING:
-        s->tries = 0;
-        ask_later(e, s);
+        s->failed_revokes = 0;
+        schedule_revoke(e, s);
         break;
     case REVOKE_UNREACHABLE:
-        on_unreachable(e, s);
+        on_revoke_failed(e, s);
         break;
     case REVOKE_OTHER_LIFE:
     default:
@@ -553,7 +559,7 @@
     while ((s = table_next(&ss->table, &at, &h)) != NULL) {
         if (handle_equal(s->upstream, u->self)) {
             s->upstream = (struct handle){0};
-            ask(e, s);
+            send_revoke(e, s);
         }
     }
     u->running = 0;
@@ -568,8 +574,8 @@
     while (timers_pop(&ss->timers, e->now.mono_us, &h)) {
         struct start *s = table_get(&ss->table, h);
 
-        if (s != NULL && s->ask_us != 0 && s->ask_us <= e->now.mono_us) {
-            ask(e, s);
+        if (s != NULL && s->revoke_us != 0 && s->revoke_us <= e->now.mono_us) {
+            send_revoke(e, s);
         }
     }
 }
--- a/src/successor.c
+++ b/src/successor.c
@@ -5,18 +5,18 @@
 
 #include "member.h"
 
-enum { MOVED_MAX = 32 };
+enum { RECORDS_MAX = 32 };
 
-struct move {
+struct successor_record {
     struct name member;
     uint64_t incarnation;
     struct name successor;
     uint64_t successor_incarnation;
-    int64_t until_us; /* monotonic */
+    int64_t expires_us; /* monotonic */
 };
 
 struct successors {
-    struct move items[MOVED_MAX];
+    struct successor_record items[RECORDS_MAX];
     size_t n;
 };
 
@@ -37,8 +37,8 @@
     free(m);
 }
 
-static struct move *
-move_of(const struct entry *e, struct name member, uint64_t incarnation)
+static struct successor_record *
+find_record(const struct entry *e, struct name member, uint64_t incarnation)
 {
     struct successors *m = e->successors;
 
@@ -52,18 +52,19 @@
 }
 
 /* A free place, or that of the one to be forgotten first. */
-static struct move *
-move_place(const struct entry *e)
+static struct successor_record *
+record_to_use(const struct entry *e)
 {
     struct successors *m = e->successors;
-    struct move *first = &m->items[0];
+    struct successor_record *first = &m->items[0];
 
     for (size_t i = 0; i < m->n; i++) {
-        if (m->items[i].until_us < first->until_us) {
+        if (m->items[i].expires_us < first->expires_us) {
             first = &m->items[i];
         }
     }
-    if (m->n < MOVED_MAX && (m->n == 0 || first->until_us > e->now.mono_us)) {
+    if (m->n < RECORDS_MAX &&
+        (m->n == 0 || first->expires_us > e->now.mono_us)) {
         return &m->items[m->n++];
     }
     return first;
@@ -74,16 +75,16 @@
                struct name successor, uint64_t successor_incarnation,
                int64_t left_us)
 {
-    struct move *to = move_of(e, member, incarnation);
+    struct successor_record *to = find_record(e, member, incarnation);
 
     if (to == NULL) {
-        to = move_place(e);
+        to = record_to_use(e);
     }
     to->member = member;
     to->incarnation = incarnation;
     to->successor = successor;
     to->successor_incarnation = successor_incarnation;
-    to->until_us = e->now.mono_us + left_us;
+    to->expires_us = e->now.mono_us + left_us;
 }
 
 /* Each incarnation stops once, so a chain has no rings unless somebody lies;
@@ -94,10 +95,10 @@
 {
     bool found = false;
 
-    for (size_t hops = 0; hops < MOVED_MAX; hops++) {
-        const struct move *m = move_of(e, *at, *incarnation);
+    for (size_t hops = 0; hops < RECORDS_MAX; hops++) {
+        const struct successor_record *m = find_record(e, *at, *incarnation);
 
-        if (m == NULL || m->until_us <= e->now.mono_us) {
+        if (m == NULL || m->expires_us <= e->now.mono_us) {
             break;
         }
         *at = m->successor;
@@ -123,8 +124,9 @@
         abort();
     }
     for (size_t i = 0; i < m->n; i++) {
-        const struct move *from = &m->items[i];
-        int64_t left = from->until_us - e->now.mono_us - e->opts.heartbeat_us;
+        const struct successor_record *from = &m->items[i];
+        int64_t left =
+            from->expires_us - e->now.mono_us - e->opts.heartbeat_us;
 
         if (left > 0) {
             (*out)[n++] = (struct rec_moved){.member = from->member,
@@ -157,14 +159,14 @@
 
 /* Who moved its own answers knows best; others only tell what is new. */
 static void
-hear(struct entry *e, struct name from, const struct rec_moved *r)
+merge_record(struct entry *e, struct name from, const struct rec_moved *r)
 {
     int64_t left = e->opts.answer_keep_us;
 
     if (members_by_name(e, r->member) == NULL ||
         members_by_name(e, r->successor) == NULL ||
         (!name_equal(r->member, from) &&
-         move_of(e, r->member, r->incarnation) != NULL)) {
+         find_record(e, r->member, r->incarnation) != NULL)) {
         return;
     }
     left = r->left_us < (uint64_t)left ? (int64_t)r->left_us : left;
@@ -181,7 +183,7 @@
         entry_log(e, LOG_WARNING, REASON_BAD_MESSAGE, NULL, -1, from, "moves");
         return;
     }
-    for (size_t i = 0; i < m->n_moves && i < MOVED_MAX; i++) {
-        hear(e, from, &m->moves[i]);
+    for (size_t i = 0; i < m->n_moves && i < RECORDS_MAX; i++) {
+        merge_record(e, from, &m->moves[i]);
     }
 }
--- a/src/upstream.c
+++ b/src/upstream.c
@@ -15,8 +15,8 @@
     SLOTS_MAX = 1024, /* of one upstream */
 };
 
-/** struct told - which life of a member got all we know of upstreams */
-struct told {
+/** struct notified - which life of a member got all we know of upstreams */
+struct notified {
     struct name member;
     uint64_t incarnation;
 };
@@ -24,8 +24,8 @@
 struct upstreams {
     struct table table;
     struct map by_name;
-    struct told told[INSTANCES_MAX];
-    size_t n_told;
+    struct notified notified[INSTANCES_MAX];
+    size_t n_notified;
     int64_t next_us; /* of the earliest timer */
 };
 
@@ -183,8 +183,7 @@
 }
 
 static bool
-same_shape(const struct rec_upstream_info *a,
-           const struct rec_upstream_info *b)
+same_info(const struct rec_upstream_info *a, const struct rec_upstream_info *b)
 {
     return name_equal(a->rack, b->rack) &&
            name_equal(a->service, b->service) &&
@@ -194,11 +193,11 @@
            a->accelerators == b->accelerators && a->leaving == b->leaving;
 }
 
-/** heard() - foreign starts only end, none is added under our epoch, so a
- * report can lower their number but never raise it: it is older than what
+/** record_report() - foreign starts only end, none is added under our epoch,
+ * so a report can lower their number but never raise it: it is older than what
  * this instance itself counts */
 static void
-heard(struct entry *e, struct upstream *u, uint64_t busy)
+record_report(struct entry *e, struct upstream *u, uint64_t busy)
 {
     uint32_t own = u->running + u->lent;
     uint32_t foreign = busy > own ? (uint32_t)(busy - own) : 0;
@@ -211,10 +210,11 @@
     }
 }
 
-/** merge() - takes over what another source says of an incarnation; returns
- * whether anything but the time changed */
+/** merge_info() - takes over what another source says of an incarnation;
+ * returns whether anything but the time changed */
 static bool
-merge(struct entry *e, struct upstream *u, const struct rec_upstream_info *new)
+merge_info(struct entry *e, struct upstream *u,
+           const struct rec_upstream_info *new)
 {
     struct rec_upstream_info info = *new;
 
@@ -222,8 +222,8 @@
     info.epoch = u->info.epoch;
     info.holder = u->info.holder;
     info.quarantined = u->info.quarantined;
-    heard(e, u, new->busy);
-    if (same_shape(&u->info, &info)) {
+    record_report(e, u, new->busy);
+    if (same_info(&u->info, &info)) {
         return false;
     }
     u->info = info;
@@ -231,10 +231,12 @@
     return true;
 }
 
-/** meet() - the record for an incarnation, replacing an earlier one; NULL if
- * a later one is known; *@changed tells whether others must hear of it */
+/** find_or_add() - the record for an incarnation, replacing an earlier one;
+ * NULL if a later one is known; *@changed tells whether others must hear of it
+ */
 static struct upstream *
-meet(struct entry *e, const struct rec_upstream_info *info, bool *changed)
+find_or_add(struct entry *e, const struct rec_upstream_info *info,
+            bool *changed)
 {
     struct upstream *u = upstreams_by_name(e, info->upstream);
     uint64_t epoch = info->epoch;
@@ -248,7 +250,7 @@
         u = NULL;
     }
     if (u != NULL) {
-        *changed = merge(e, u, info);
+        *changed = merge_info(e, u, info);
         return u;
     }
     *changed = true;
@@ -260,7 +262,7 @@
 }
 
 static void
-tell_announced(struct entry *e, uint64_t request, const struct upstream *u)
+reply_announced(struct entry *e, uint64_t request, const struct upstream *u)
 {
     struct ef_announced *a;
 
@@ -295,7 +297,7 @@
     info.epoch = 0;
     info.holder = name_of("");
     info.quarantined = 0;
-    u = meet(e, &info, &changed);
+    u = find_or_add(e, &info, &changed);
     if (u == NULL) {
         entry_refuse(e, ev->request, PROBLEM_STALE_LIFE, 0,
                      "a newer incarnation has announced itself");
@@ -309,7 +311,7 @@
                             (uint32_t)u->info.busy);
     }
     holders_try_fence(e, u);
-    tell_announced(e, ev->request, u);
+    reply_announced(e, ev->request, u);
 }
 
 static void
@@ -338,7 +340,7 @@
     if (u != NULL && ev->info.incarnation == u->info.incarnation) {
         set_leaving(e, u);
     }
-    tell_announced(e, ev->request, u);
+    reply_announced(e, ev->request, u);
 }
 
 void
@@ -352,7 +354,7 @@
         return;
     }
     set_leaving(e, u);
-    tell_announced(e, ev->request, u);
+    reply_announced(e, ev->request, u);
 }
 
 /* What other members say */
@@ -372,7 +374,7 @@
                       announce_error(e, info));
             continue;
         }
-        u = meet(e, info, &changed);
+        u = find_or_add(e, info, &changed);
         if (u != NULL) {
             holders_merge_info(e, u, info);
             health_on_report(e, u, info->quarantined != 0);
@@ -389,29 +391,29 @@
         struct upstream *u = upstreams_by_name(e, refs[i].upstream);
 
         if (u != NULL && u->info.incarnation == refs[i].incarnation) {
-            heard(e, u, refs[i].busy);
+            record_report(e, u, refs[i].busy);
         }
     }
 }
 
 /* Members */
 
-static struct told *
-told_of(struct upstreams *us, struct name member)
+static struct notified *
+notified_of(struct upstreams *us, struct name member)
 {
-    for (size_t i = 0; i < us->n_told; i++) {
-        if (name_equal(us->told[i].member, member)) {
-            return &us->told[i];
+    for (size_t i = 0; i < us->n_notified; i++) {
+        if (name_equal(us->notified[i].member, member)) {
+            return &us->notified[i];
         }
     }
-    us->told[us->n_told].member = member;
-    return &us->told[us->n_told++];
+    us->notified[us->n_notified].member = member;
+    return &us->notified[us->n_notified++];
 }
 
-/** ours_to_tell() - each upstream is told of by its holder; where nobody
- * holds it, by everyone */
+/** sends_to_new_members() - each upstream is told of by its holder; where
+ * nobody holds it, by everyone */
 static bool
-ours_to_tell(const struct entry *e, const struct upstream *u)
+sends_to_new_members(const struct entry *e, const struct upstream *u)
 {
     const struct member *holder = members_by_name(e, u->info.holder);
 
@@ -419,7 +421,7 @@
 }
 
 static void
-send_all(struct entry *e, struct name to)
+send_upstreams(struct entry *e, struct name to)
 {
     struct msg m = {.kind = MSG_UPSTREAM_NEWS};
     struct rec_upstream_news *news = &m.u.upstream_news;
@@ -432,7 +434,7 @@
         abort();
     }
     while ((u = upstreams_next(e, &at)) != NULL) {
-        if (ours_to_tell(e, u)) {
+        if (sends_to_new_members(e, u)) {
             news->upstreams[news->n_upstreams++] = u->info;
         }
     }
@@ -443,28 +445,28 @@
     entry_send(e, to, &m);
 }
 
-/** tell_new_members() - an instance that restarted knows no upstream and
+/** send_to_new_members() - an instance that restarted knows no upstream and
  * would refuse every job until each has announced itself to it again */
 static void
-tell_new_members(struct entry *e)
+send_to_new_members(struct entry *e)
 {
     struct member *m;
     size_t at = 0;
 
     while ((m = members_next(e, &at)) != NULL) {
-        struct told *t;
+        struct notified *t;
 
         if (m->self || !name_equal(m->zone, e->zone)) {
             continue;
         }
-        t = told_of(e->upstreams, m->name);
+        t = notified_of(e->upstreams, m->name);
         if (!m->up) {
             t->incarnation = 0;
             continue;
         }
         if (t->incarnation != m->incarnation) {
             t->incarnation = m->incarnation;
-            send_all(e, m->name);
+            send_upstreams(e, m->name);
         }
     }
 }
@@ -475,7 +477,7 @@
     struct upstream *u;
     uint32_t at = 0;
 
-    tell_new_members(e);
+    send_to_new_members(e);
     while ((u = upstreams_next(e, &at)) != NULL) {
         holders_try_fence(e, u);
     }
