--- a/src/handover.c
+++ b/src/handover.c
@@ -146,7 +146,8 @@
 
     h->phase = HANDOVER_FINISHED;
     entry_log(e, left > 0 ? LOG_WARNING : LOG_NOTICE, REASON_STOPPING, NULL,
-              -1, h->successor, "kept answers: %zu handed over, %zu left",
+              -1, h->successor,
+              "kept answers: %zu handed over, %zu not handed over",
               h->acknowledged, left);
 }
 
--- a/src/health.c
+++ b/src/health.c
@@ -100,7 +100,8 @@
     if (c.quarantined >= quarantine_cap(e, &c)) {
         if (!u->health->cap_logged) {
             entry_log(e, LOG_WARNING, REASON_QUARANTINE_CAP, NULL, -1, u->name,
-                      "%u failures in a row; %u of %u are quarantined",
+                      "%u failures in a row; cap reached: %u of %u upstreams "
+                      "quarantined",
                       u->health->failures, c.quarantined, c.all);
         }
         u->health->cap_logged = true;
@@ -160,7 +161,7 @@
     h->probe_us = e->now.mono_us + entry_jitter(e, h->backoff_us);
     dispatch_run_at(e, h->probe_us);
     entry_log(e, LOG_INFO, REASON_PROBED, NULL, -1, u->name,
-              "failed again; next in %lld ms",
+              "probe failed; next one in %lld ms",
               (long long)((h->probe_us - e->now.mono_us) / USEC_PER_MSEC));
     dispatch_upstream_changed(e, u);
 }
@@ -236,7 +237,7 @@
     c = count_upstreams(e, u->info.service);
     if (c.quarantined > quarantine_cap(e, &c) && c.last != NULL &&
         c.last->held) {
-        restore(e, c.last, "more were quarantined at once than may be");
+        restore(e, c.last, "quarantined upstreams exceed the cap");
     }
 }
 
--- a/src/holder.c
+++ b/src/holder.c
@@ -173,8 +173,9 @@
     }
     u->held = false;
     entry_log(e, LOG_INFO, REASON_HOLDER_LOST, NULL, -1, u->name,
-              "epoch %llu, now %s", (unsigned long long)u->info.epoch,
-              name_empty(u->info.holder) ? "nobody" : u->info.holder.s);
+              "hold ended at epoch %llu, holder now %s",
+              (unsigned long long)u->info.epoch,
+              name_empty(u->info.holder) ? "unknown" : u->info.holder.s);
 }
 
 /** back_off() - two instances that each believe the other is down would take
@@ -207,8 +208,8 @@
     u->foreign_busy = ev->running > known ? ev->running - known : 0;
     health_on_held(e, u);
     entry_log(e, LOG_INFO, REASON_HOLDER_TAKEN, NULL, -1, u->name,
-              "epoch %llu, %u running there", (unsigned long long)epoch,
-              ev->running);
+              "fenced at epoch %llu, %u tasks running there",
+              (unsigned long long)epoch, ev->running);
     upstreams_notify_zone(e, u);
     dispatch_upstream_changed(e, u);
 }
--- a/src/lend.c
+++ b/src/lend.c
@@ -12,8 +12,9 @@
 #define RETURN_MARGIN_US (10 * USEC_PER_SEC) /* after the lease of a grant */
 #define RECALL_INTERVAL_US (100 * USEC_PER_MSEC)   /* between recalls */
 #define BORROWER_INTERVAL_US (400 * USEC_PER_MSEC) /* of the same borrower */
-#define DEFAULT_RUN_US (300 * USEC_PER_MSEC) /* run time until one is known   \
-                                              */
+#define DEFAULT_RUN_US                                                        \
+    (300 * USEC_PER_MSEC) /* run time until one is known                      \
+                           */
 
 enum { SPARE_FACTOR = 3 }; /* longer pauses to spare messages */
 
--- a/src/member.c
+++ b/src/member.c
@@ -272,7 +272,8 @@
 {
     m->up = false;
     m->n_loads = 0;
-    entry_log(e, LOG_WARNING, reason, NULL, -1, m->name, "heard %lld ms ago",
+    entry_log(e, LOG_WARNING, reason, NULL, -1, m->name,
+              "last heartbeat %lld ms ago",
               (long long)((e->now.mono_us - m->heard_us) / USEC_PER_MSEC));
     jobs_member_down(e, m->name);
     dispatch_member_down(e, m->name);
--- a/src/slot.c
+++ b/src/slot.c
@@ -9,8 +9,9 @@
 #include "lend.h"
 #include "upstream.h"
 
-#define IDLE_RETURN_US (2 * USEC_PER_SEC) /* before a slot goes back unasked  \
-                                           */
+#define IDLE_RETURN_US                                                        \
+    (2 * USEC_PER_SEC) /* before a slot goes back unasked                     \
+                        */
 #define RETURN_BATCH_US (20 * USEC_PER_MSEC) /* returns wait for others */
 #define CHECK_INTERVAL_US                                                     \
     (500 * USEC_PER_MSEC) /* between looks at idle slots */
--- a/src/upstream.c
+++ b/src/upstream.c
@@ -322,7 +322,8 @@
     }
     u->info.leaving = MUTANT(e, STAY) ? 0 : 1;
     entry_log(e, LOG_INFO, REASON_LEAVING, NULL, -1, u->name,
-              "no new work; %u running from here", u->running);
+              "no new tasks; %u started by this instance still run",
+              u->running);
     dispatch_upstream_changed(e, u);
     upstreams_notify_zone(e, u);
 }
