--- a/src/borrow.c
+++ b/src/borrow.c
@@ -7,59 +7,55 @@
 #include "member.h"
 #include "lend.h"
 
-#define LOST_REPLY_PAUSE_US                                                   \
-    (100 * USEC_PER_MSEC)                 /* after a reply that was lost */
-#define REQUEST_TTL_US (1 * USEC_PER_SEC) /* a request is remembered */
-#define REPLY_TIMEOUT_US                                                      \
-    (300 * USEC_PER_MSEC) /* after which a reply is lost */
-#define GRANT_INTERVAL_US                                                     \
-    (60 * USEC_PER_MSEC) /* between grants to who waits */
-#define REQUEST_MIN_WAIT_US                                                   \
-    (60 * USEC_PER_MSEC) /* of waiting, to ask for slots */
-#define QUEUED_MIN_WAIT_US                                                    \
-    (250 * USEC_PER_MSEC)                    /* the same where none are free */
-#define RANK_MARGIN_US (100 * USEC_PER_MSEC) /* to go before our own */
+#define LOST_REPLY_PAUSE_US (100 * USEC_PER_MSEC) /* after a timeout */
+#define REPLY_TIMEOUT_US (300 * USEC_PER_MSEC)
+#define REQUEST_TTL_US (1 * USEC_PER_SEC)      /* of a queued request */
+#define GRANT_INTERVAL_US (60 * USEC_PER_MSEC) /* for queued requests */
+/* Least queueing time for which slots are requested, and the same for holders
+ * that report no free slots. */
+#define REQUEST_MIN_WAIT_US (60 * USEC_PER_MSEC)
+#define QUEUED_MIN_WAIT_US (250 * USEC_PER_MSEC)
+/* A remote job must rank this much before the first local one to go first. */
+#define RANK_MARGIN_US (100 * USEC_PER_MSEC)
 
 enum {
-    SPARE_FACTOR = 3, /* longer pauses to spare messages */
-    SAMPLES_MIN = 10, /* run times; with fewer nothing is known */
+    SPARE_FACTOR = 3, /* factor for pauses with opts.spare_messages */
+    SAMPLES_MIN = 10, /* run times needed for an estimate */
 };
 
-/** struct lender - what is known of another instance's free slots */
+/** struct lender - another instance as a lender of slots of one service */
 struct lender {
     struct member *member;
-    bool same_zone;        /* in our zone */
-    uint32_t free;         /* slots, as last told, less what was asked for */
-    int64_t loads_read_us; /* when the lender told the number */
-    int64_t not_before_us; /* nothing is asked before that */
-    uint64_t request;      /* on its way; 0: none */
-    uint32_t n_requested;
+    bool same_zone;        /* in this instance's zone */
+    uint32_t free;         /* free slots last reported, less those requested */
+    int64_t loads_read_us; /* loads_received_us when last read */
+    int64_t not_before_us; /* no request is sent before that */
+    uint64_t request;      /* in flight; 0: none */
+    uint32_t n_requested;  /* slots in that request */
     int64_t requested_us;
-    int64_t queued_until_us; /* it remembers our request until then */
+    int64_t queued_until_us; /* the lender keeps a request queued until then */
 };
 
-/** struct queued_request - another instance that asked for more than was free
- */
+/** struct queued_request - queued request of another instance */
 struct queued_request {
     struct name from;
-    bool same_zone;
+    bool same_zone; /* @from is in this instance's zone */
     uint64_t request;
-    struct resources need;
-    uint32_t count;
-    uint32_t first;  /* of them for the job with the rank below */
-    int64_t rank_us; /* see queue.h, by our clock */
-    int64_t expires_us;
+    struct resources need; /* of each slot */
+    uint32_t count;        /* slots still to be granted */
+    uint32_t first;        /* of @count, for the first job of @from's queue */
+    int64_t rank_us;       /* of that job, see queue.h, by the local clock */
+    int64_t expires_us;    /* the request expires */
 };
 
 struct borrowing {
     struct lender *lenders;
     size_t n_lenders;
-    struct queued_request *requests; /* room for one of each instance */
+    struct queued_request *requests; /* one per instance, capacity n_peers */
     size_t n_requests;
-    int64_t blocked_since_us; /* since when the queue lacks places; 0: it
-                                 doesn't */
-    int64_t next_us;          /* when to ask again */
-    int64_t next_grant_us;    /* those who wait get nothing before that */
+    int64_t blocked_since_us; /* start of a lack of slots; 0: none */
+    int64_t next_us;          /* next time to request slots */
+    int64_t next_grant_us;    /* no grants to queued requests before that */
 };
 
 static struct borrowing *
@@ -109,7 +105,7 @@
     return s->borrowing;
 }
 
-/* Asking */
+/* Requests to other instances */
 
 static void
 read_heartbeat(const struct service_state *s, struct lender *l)
@@ -128,8 +124,8 @@
     }
 }
 
-/** refresh_lenders() - takes in heartbeats and gives lost requests up; how
- * many slots are on order */
+/** refresh_lenders() - reads new heartbeats and times out requests in flight;
+ * returns the number of slots that are still requested */
 static uint32_t
 refresh_lenders(struct entry *e, struct service_state *s)
 {
@@ -192,8 +188,9 @@
     entry_send(e, l->member->name, &m);
 }
 
-/** lends_more() - one that can give all is as good as another, and a random
- * one of these keeps askers from all choosing the same */
+/** lends_more() - whether @a can lend more of @count slots than @b.  Ties,
+ * such as lenders that can lend all of them, are broken at random, so that
+ * borrowers do not all choose the same lender. */
 static bool
 lends_more(struct entry *e, const struct lender *a, const struct lender *b,
            uint32_t count)
@@ -226,8 +223,8 @@
     return best;
 }
 
-/** request_free_slots() - asks those known to have free slots; what is still
- * wanted */
+/** request_free_slots() - requests slots from lenders that reported free ones;
+ * returns how many of @count remain */
 static uint32_t
 request_free_slots(struct entry *e, struct service_state *s,
                    struct resources need, bool same_zone, uint32_t count)
@@ -252,8 +249,8 @@
     return s->conf != NULL && s->conf->spill;
 }
 
-/** request_to_queue() - leaves the request with holders that have nothing free
- * now */
+/** request_to_queue() - sends requests to be queued by holders that have no
+ * free slots now */
 static void
 request_to_queue(struct entry *e, struct service_state *s,
                  struct resources need, uint32_t count)
@@ -276,8 +273,8 @@
     return e->opts.fewer_messages ? us * SPARE_FACTOR : us;
 }
 
-/** borrow_withdraw() - withdraws what holders still remember: otherwise each
- * would send slots that nobody needs any more, and have them sent back */
+/** borrow_withdraw() - withdraws the requests queued at holders; otherwise
+ * holders would grant slots only to have them returned unused */
 void
 borrow_withdraw(struct entry *e, struct service_state *s)
 {
@@ -306,7 +303,7 @@
     return n < most ? n : most;
 }
 
-/** next_task_need() - of the task that goes next */
+/** next_task_need() - resources of the next task to start */
 static struct resources
 next_task_need(struct entry *e, const struct service_state *s)
 {
@@ -316,10 +313,10 @@
     return job->tasks[q->tasks[q->n_tasks - 1]].need;
 }
 
-/** estimated_wait_us() - how long the queue has to wait for our own slots:
- * what they need to work it off if they end one after the other, or what it
- * has waited already if they don't.  With nothing learned yet, nobody can
- * tell. */
+/** estimated_wait_us() - estimated time until the slots in use here could take
+ * @wanted tasks: the time to work them off at the mean run time, or the time
+ * the queue has been blocked, if that is longer.  INT64_MAX while there are
+ * too few run times for an estimate. */
 static int64_t
 estimated_wait_us(const struct entry *e, const struct service_state *s,
                   uint32_t wanted)
@@ -441,7 +438,7 @@
     return false;
 }
 
-/* Being asked */
+/* Requests from other instances */
 
 static struct queued_request *
 request_of(struct borrowing *b, struct name from)
@@ -539,7 +536,8 @@
     return first;
 }
 
-/** grant_queued() - whether any slot went */
+/** grant_queued() - grants up to @most slots of a queued request; returns
+ * whether any were lent */
 static bool
 grant_queued(struct entry *e, struct service_state *s,
              struct queued_request *w, uint32_t most)
--- a/src/handover.c
+++ b/src/handover.c
@@ -8,11 +8,11 @@
 #include "member.h"
 #include "successor.h"
 
-#define RESEND_US (200 * USEC_PER_MSEC) /* until a batch is sent again */
+#define RESEND_US (200 * USEC_PER_MSEC) /* before a batch is sent again */
 
 enum {
     BATCH_ANSWERS = 256,
-    BATCH_BYTES = 1 << 20, /* a single answer may have more */
+    BATCH_BYTES = 1 << 20, /* exceeded only by a batch of one answer */
 };
 
 enum handover_phase {
@@ -28,10 +28,10 @@
     int64_t end_us;
     int64_t resend_us;
     uint64_t batch;
-    uint32_t at;      /* where the batch in flight begins, see table_next() */
-    uint32_t next;    /* and where the one after it does */
-    size_t in_flight; /* answers of the batch */
-    size_t acknowledged; /* acknowledged */
+    uint32_t at;         /* start of the batch in flight, see table_next() */
+    uint32_t next;       /* start of the batch after it */
+    size_t in_flight;    /* answers in the batch in flight */
+    size_t acknowledged; /* answers acknowledged */
 };
 
 struct handover *
@@ -64,7 +64,8 @@
     return n;
 }
 
-/* The next name after our own, in our zone if there is one. */
+/* The next usable member after this instance in the order of names, one of its
+ * own zone if possible; NULL if there is none. */
 static const struct member *
 choose_successor(const struct entry *e)
 {
@@ -101,7 +102,7 @@
     to->n_tasks = waiter_encode_tasks(job->answer, &to->tasks);
 }
 
-/* Sends what follows h->at; false where nothing does. */
+/* Sends the answers that follow h->at; false if there are none. */
 static bool
 send_batch(struct entry *e)
 {
@@ -160,8 +161,8 @@
                                             : 0;
 }
 
-/* With a successor that came to nothing everything is sent again to the next;
- * the time for all of them together is bounded. */
+/* After a successor failed, all answers are sent again to the next one.
+ * HANDOVER_TIMEOUT_US limits the time for all successors together. */
 static void
 start_with(struct entry *e, const struct member *m)
 {
@@ -252,7 +253,7 @@
 
     if (h->phase != HANDOVER_SENDING || !name_equal(from, h->successor) ||
         m->batch != h->batch) {
-        return; /* late or doubled */
+        return; /* delayed or duplicated */
     }
     if (m->refused != 0) {
         members_by_name(e, from)->stopping = true;
@@ -267,8 +268,8 @@
     }
 }
 
-/* Whoever waits here for that very job gets the answer now; what this
- * instance knows of the key itself stands. */
+/* Callers that wait here for the job get the answer now.  If this instance has
+ * an outcome for the key or runs the job itself, the answer is ignored. */
 static void
 take_answer(struct entry *e, const struct rec_kept_answer *r)
 {
--- a/src/handover.h
+++ b/src/handover.h
@@ -1,29 +1,34 @@
 /**
- * DOC: handover - an instance that stops gives its kept answers to another
+ * DOC: handover - a stopping instance hands its kept answers to a successor
  *
- * In batches, each acknowledged, within HANDOVER_TIMEOUT_US.  What is handed
- * over are answers of ended jobs: they start nothing, and the claims stay as
- * they are.
+ * The answers are sent in batches, each acknowledged, within
+ * HANDOVER_TIMEOUT_US. Only answers of ended jobs are handed over: they start
+ * no task, and claims are not changed.
  */
 #ifndef BM_HANDOVER_H
 #define BM_HANDOVER_H
 
 #include "entry_state.h"
 
-/* A stop takes no longer because of it, whatever the successor does. */
+/* Time limit of the handover, all successors together: a stop is delayed no
+ * longer than this. */
 #define HANDOVER_TIMEOUT_US (2 * USEC_PER_SEC)
 
+/** handover_new() - ends the process when memory is out */
 struct handover *handover_new(void);
 void handover_free(struct handover *h);
 
-/** handover_advance() - goes on with it; true when nothing is left to do.
- * Called in every step of an instance that stops and whose jobs ended. */
+/** handover_advance() - starts or continues the handover; returns true when it
+ * is over.  Called in every step of a stopping instance whose jobs have ended.
+ */
 bool handover_advance(struct entry *e);
 
-/** handover_on_message() - ANSWER_HANDOVER and ANSWER_TAKEN */
+/** handover_on_message() - handles ANSWER_HANDOVER and ANSWER_TAKEN */
 void handover_on_message(struct entry *e, struct name from,
                          const struct msg *m);
 
+/** handover_next_us() - monotonic time at which handover_advance() has work;
+ * INT64_MAX if no handover is in progress */
 int64_t handover_next_us(const struct entry *e);
 
 #endif
--- a/src/health.c
+++ b/src/health.c
@@ -11,21 +11,23 @@
 #define PROBE_BACKOFF_FIRST_US (1 * USEC_PER_SEC)
 #define PROBE_BACKOFF_MAX_US (30 * USEC_PER_SEC)
 
-static const double RATIO_WEIGHT = 0.1; /* of one task */
-static const double SLOW_RATIO = 1.5;   /* over expected */
+static const double RATIO_WEIGHT = 0.1; /* of one task in the mean */
+static const double SLOW_RATIO = 1.5;   /* ratios to expected run time */
 static const double VERY_SLOW_RATIO = 3.0;
 
+/* In levels, see place.h. */
 enum {
     PENALTY_FAILED = 2,
     PENALTY_SLOW = 3,
     PENALTY_VERY_SLOW = 8,
 };
 
-/** struct upstream_counts - the upstreams of a service that this zone knows */
+/** struct upstream_counts - counts of the upstreams of a service in this zone,
+ * except leaving ones */
 struct upstream_counts {
     uint32_t all;
     uint32_t quarantined;
-    struct upstream *last; /* quarantined one with the greatest name */
+    struct upstream *last; /* quarantined upstream with the greatest name */
 };
 
 struct health *
@@ -69,8 +71,8 @@
     return c;
 }
 
-/** quarantine_cap() - how many of them may be quarantined; one where the share
- * gives less, but never the last */
+/** quarantine_cap() - how many upstreams of a service may be quarantined: the
+ * configured percentage, but at least one, and never all of them */
 static uint32_t
 quarantine_cap(const struct entry *e, const struct upstream_counts *c)
 {
@@ -89,9 +91,10 @@
     dispatch_run_at(e, u->health->probe_us);
 }
 
-/* When every upstream of a service fails everything, the fault is not theirs:
- * a bad release of the service, say.  With all of them in quarantine nothing
- * would run, and nothing would find out that the fault is mended. */
+/* If all upstreams of a service fail all tasks, the cause is not the single
+ * upstream but, say, a bad release of the service.  With all of them in
+ * quarantine no task would run, and a fixed release would not be detected.  So
+ * the number of quarantined upstreams is capped. */
 static void
 quarantine(struct entry *e, struct upstream *u)
 {
@@ -126,8 +129,9 @@
     dispatch_upstream_changed(e, u);
 }
 
-/** decides_quarantine() - the holder does; without holders everyone for itself
- */
+/** decides_quarantine() - whether this instance decides on the quarantine of
+ * an upstream: only the holder does, or every instance where placement has no
+ * holders */
 static bool
 decides_quarantine(const struct entry *e, const struct upstream *u)
 {
@@ -176,7 +180,7 @@
         return;
     }
     if (u->info.quarantined) {
-        /* Tasks sent before the quarantine still fail; they are no probes. */
+        /* Tasks sent before the quarantine may still fail: not probes. */
         if (h->probe_us <= e->now.mono_us) {
             probe_failed(e, u);
         }
--- a/src/holder.c
+++ b/src/holder.c
@@ -12,15 +12,15 @@
 #include "table.h"
 
 enum {
-    EPOCH_HOLDER_BITS = 8,  /* low bits of an epoch name its holder */
-    FENCE_BACKOFF_MAX = 16, /* times the first backoff */
+    EPOCH_HOLDER_BITS = 8,  /* low bits: number of the fencing instance */
+    FENCE_BACKOFF_MAX = 16, /* longest backoff, in FENCE_BACKOFF_US */
 };
 
 #define FENCE_BACKOFF_US (250 * USEC_PER_MSEC)
 
-/** struct fence_call - a fence on its way */
+/** struct fence_call - a fence in flight */
 struct fence_call {
-    uint64_t call; /* first: looked up by it */
+    uint64_t call; /* first: key of fence_by_call */
     struct handle self;
     struct handle upstream;
     uint64_t epoch;
@@ -74,8 +74,8 @@
     return XXH3_64bits_withSeed(upstream.s, strlen(upstream.s), seed);
 }
 
-/** pick_holder() - the member of the zone that should hold an upstream: the
- * one with the highest weight among those that may; NULL if none may */
+/** pick_holder() - the member of this zone that should hold an upstream: the
+ * one with the highest weight among those that may hold it, or NULL */
 static const struct member *
 pick_holder(const struct entry *e, struct name upstream)
 {
@@ -112,9 +112,9 @@
     return number;
 }
 
-/** next_epoch() - above every epoch known; its low bits are the number of
- * this instance, so two instances that fence at once never use the same one
- * and the upstream can tell which is the later */
+/** next_epoch() - an epoch above @known.  Its low bits are the number of this
+ * instance, so two instances that fence at the same time never use the same
+ * epoch, and the upstream can tell which one is later. */
 static uint64_t
 next_epoch(const struct entry *e, uint64_t known)
 {
@@ -178,10 +178,10 @@
               name_empty(u->info.holder) ? "unknown" : u->info.holder.s);
 }
 
-/** back_off() - two instances that each believe the other is down would take
- * an upstream from one another without end, each time with starts refused
- * that had been sent under the older epoch.  Growing, jittered pauses leave
- * the later one in peace for longer each time. */
+/** back_off() - delays the next fence by a jittered time that grows with each
+ * failure.  Without a delay, two instances that each consider the other down
+ * would fence an upstream in turn endlessly, and each time the starts sent
+ * under the older epoch would be refused. */
 static void
 back_off(struct entry *e, struct upstream *u)
 {
@@ -243,7 +243,7 @@
     back_off(e, u);
 }
 
-/* What others say and do */
+/* Loss of holds */
 
 void
 holders_on_stale_epoch(struct entry *e, struct upstream *u)
--- a/src/holder.h
+++ b/src/holder.h
@@ -1,16 +1,18 @@
 /**
  * DOC: holder - which instance holds an upstream
  *
- * Within a zone each upstream has one holder: the up, non-stopping member that
- * rendezvous hashing picks.  It takes over with a fence: a PUT to the upstream
- * with an epoch above every one seen, after which the upstream refuses starts
- * under lower ones.  The fence, not a clock, keeps a paused old holder out.
+ * Within a zone each upstream has one holder: the member that rendezvous
+ * hashing picks among those that are up and not stopping.  The new holder
+ * takes over with a fence: a PUT to the upstream with an epoch above every
+ * epoch seen, after which the upstream refuses starts under lower epochs.  So
+ * a former holder that was paused is kept out by the fence, not by a clock.
  */
 #ifndef BM_HOLDER_H
 #define BM_HOLDER_H
 
 #include "upstream.h"
 
+/** holders_new() - ends the process when memory is out */
 struct holders *holders_new(void);
 void holders_free(struct holders *hs);
 
@@ -18,24 +20,24 @@
  * does not hold yet */
 void holders_try_fence(struct entry *e, struct upstream *u);
 
-/** holders_on_fenced() - a fence was answered, or failed */
+/** holders_on_fenced() - handles the outcome of a fence */
 void holders_on_fenced(struct entry *e, const struct ev_fenced *ev);
 
-/** holders_merge_info() - takes over a holder with a later epoch from another
- * member's news; a hold of ours ends with it */
+/** holders_merge_info() - records the holder that another member reported,
+ * unless its epoch is older; a later epoch ends the hold of this instance */
 void holders_merge_info(struct entry *e, struct upstream *u,
                         const struct rec_upstream_info *info);
 
-/** holders_end_hold() - forgets the hold, if there is one; the caller sees to
- * what was placed under it */
+/** holders_end_hold() - ends the hold of this instance, if it has one; the
+ * caller cleans up what was placed or lent under the hold */
 void holders_end_hold(struct entry *e, struct upstream *u);
 
-/** holders_on_stale_epoch() - a start was refused under this epoch: the hold
- * and what was lent under it are over */
+/** holders_on_stale_epoch() - ends the hold and what was lent under it, after
+ * the upstream refused a start for its stale epoch */
 void holders_on_stale_epoch(struct entry *e, struct upstream *u);
 
-/** holders_release_all() - drops every hold at once, after a pause or on stop
- */
+/** holders_release_all() - releases all held upstreams, after a pause of the
+ * process or on stop */
 void holders_release_all(struct entry *e);
 
 #endif
--- a/src/lend.c
+++ b/src/lend.c
@@ -9,18 +9,17 @@
 #include "timers.h"
 #include "upstream.h"
 
-#define RETURN_MARGIN_US (10 * USEC_PER_SEC) /* after the lease of a grant */
+/* Time for a return to arrive after the lease of a grant has ended. */
+#define RETURN_MARGIN_US (10 * USEC_PER_SEC)
 #define RECALL_INTERVAL_US (100 * USEC_PER_MSEC)   /* between recalls */
-#define BORROWER_INTERVAL_US (400 * USEC_PER_MSEC) /* of the same borrower */
-#define DEFAULT_RUN_US                                                        \
-    (300 * USEC_PER_MSEC) /* run time until one is known                      \
-                           */
+#define BORROWER_INTERVAL_US (400 * USEC_PER_MSEC) /* to the same borrower */
+#define DEFAULT_RUN_US (300 * USEC_PER_MSEC)       /* without an estimate */
 
-enum { SPARE_FACTOR = 3 }; /* longer pauses to spare messages */
+enum { SPARE_FACTOR = 3 }; /* factor for pauses with opts.spare_messages */
 
-/** struct slot_loan - slots on one upstream that another instance may use */
+/** struct slot_loan - a grant of slots on one upstream to another instance */
 struct slot_loan {
-    uint64_t grant; /* first: looked up by it */
+    uint64_t grant; /* first: key of loan_by_grant */
     struct handle self;
     struct handle upstream;
     struct name borrower;
@@ -30,11 +29,11 @@
     int64_t expires_us;
 };
 
-/** struct recall_candidate - a borrower, for recalls */
+/** struct recall_candidate - a borrower, as a candidate for recalls */
 struct recall_candidate {
     struct name borrower;
     uint32_t slots;        /* see count_recallable() */
-    int64_t not_before_us; /* it is not asked before */
+    int64_t not_before_us; /* no recall to this borrower before that */
 };
 
 struct lending {
@@ -43,7 +42,7 @@
     struct timers loan_timers;
     struct recall_candidate candidates[INSTANCES_MAX];
     size_t n_candidates;
-    int64_t next_recall_us; /* nobody is asked before */
+    int64_t next_recall_us; /* no recall to any borrower before that */
 };
 
 struct lending *
@@ -74,7 +73,7 @@
     return e->opts.fewer_messages ? us * SPARE_FACTOR : us;
 }
 
-/** candidate_of() - what a borrower has of a service's slots */
+/** candidate_of() - finds or adds the record of a borrower */
 static struct recall_candidate *
 candidate_of(struct lending *ls, struct name borrower)
 {
@@ -87,8 +86,8 @@
     return &ls->candidates[ls->n_candidates++];
 }
 
-/** count_recallable() - slots lent so long ago that their first task should be
- * over: those may be idle */
+/** count_recallable() - counts, for each borrower, the slots lent so long ago
+ * that their first task should have ended: these may be idle */
 static void
 count_recallable(struct entry *e, const struct service_state *s)
 {
@@ -205,13 +204,14 @@
         if (p == NULL || place_is_own(p)) {
             return p;
         }
-        /* Borrowed slots are not lent on: they are idle, so they go back. */
+        /* Borrowed slots are not lent on: as idle ones they are returned. */
         slots_close_place(e, p);
     }
 }
 
-/** slots_to_lend() - half of an upstream's free slots at a time, so that the
- * tasks of one borrower spread over several */
+/** slots_to_lend() - number of slots to lend on one upstream: at most half of
+ * its free ones, so that the tasks of one borrower spread over several
+ * upstreams */
 static uint32_t
 slots_to_lend(uint32_t fits, uint32_t count)
 {
@@ -263,9 +263,9 @@
     table_remove(&e->dispatch->lending->loans, l->self);
 }
 
-/* What a borrower that died, or went silent, had started may still run.  Its
- * slots stay taken as foreign ones until the upstream reports itself less
- * busy, since starts beyond its slots would only be refused. */
+/* Tasks that a failed or unresponsive borrower started may still run.  Its
+ * slots are counted as foreign until the upstream reports fewer running tasks,
+ * since starts beyond the upstream's slots would only be refused. */
 static void
 count_loan_as_foreign(struct entry *e, struct slot_loan *l)
 {
@@ -345,7 +345,7 @@
     }
 }
 
-/* Ends of holds, members and leases */
+/* Loss of holds, members and leases */
 
 void
 lend_void_upstream(struct entry *e, struct handle upstream)
--- a/src/member.c
+++ b/src/member.c
@@ -11,9 +11,9 @@
 #include "upstream.h"
 
 enum {
-    RENEWED_MAX = 4096,
-    REMOTE_LOADS = 8, /* loads in a heartbeat to another zone, on average */
-    REMOTE_BEATS_MAX = 8, /* heartbeats there for one with loads, at most */
+    RENEWED_MAX = 4096, /* renewals in a heartbeat */
+    REMOTE_LOADS = 8,   /* loads in a heartbeat to another zone, on average */
+    REMOTE_BEATS_MAX = 8, /* at least every 8th of these carries the loads */
 };
 
 struct members {
@@ -151,7 +151,7 @@
                 voters[n++] = m->items[i].name;
             }
         }
-        /* A zone that nobody is in has no voters, borrowed ones neither. */
+        /* A zone without instances has no voters, not even of other zones. */
         if (n == 0) {
             return 0;
         }
@@ -198,11 +198,11 @@
     ref->busy = busy;
 }
 
-/* Heartbeats go to every instance of the region and say first of all that we
- * are up.  With many services most of their bytes are loads, which our zone
- * needs at once and the others only to find out where to ask when they are
- * full themselves; so the more services there are, the fewer of the
- * heartbeats to other zones carry them. */
+/* Heartbeats go to every instance of the region, mainly to show that this
+ * instance is up.  With many services most of their bytes are loads.  This
+ * zone needs the loads at once, while other zones only use them to choose
+ * lenders when they have no free slots themselves.  So the more services there
+ * are, the fewer of the heartbeats to other zones carry loads. */
 static bool
 remote_loads_due(const struct entry *e, size_t n_loads)
 {
@@ -239,8 +239,9 @@
     return m;
 }
 
-/* To every other instance, up or not: a heartbeat is how it comes up.  The
- * renewals go to our own zone only, where the upstreams' holders are. */
+/* Sends to every other instance, up or not, since the receiver takes this
+ * instance as up from its first heartbeat on.  The renewals go to this zone
+ * only, where the holders of the upstreams are. */
 static void
 send_heartbeats(struct entry *e)
 {
@@ -362,9 +363,10 @@
         return;
     }
     if (!up) {
-        /* A process that died takes its connection along.  One heartbeat is
-         * left for a new connection; without this every loss of a claimer
-         * would cost its waiters the whole member timeout. */
+        /* The connection of a process that died breaks, so the member times
+         * out after one heartbeat interval, in which it may connect again.
+         * Otherwise the callers waiting for a lost claimer would have to wait
+         * for the whole member timeout. */
         int64_t heard =
             e->now.mono_us - e->opts.member_timeout_us + e->opts.heartbeat_us;
 
@@ -428,11 +430,11 @@
     upstreams_on_members_changed(e);
 }
 
-/* Whoever slept cannot tell who died meanwhile.  If everybody's silence were
- * counted from before the sleep, all members would be down at once: every
- * wait would be answered as lost, and this instance would take over every
- * upstream of its zone.  So each gets a fresh timeout, but the loads of
- * before are void. */
+/* After a pause this instance cannot know which members failed meanwhile.  If
+ * the time without heartbeats included the pause, all members would be down at
+ * once: every wait would be answered as lost, and this instance would take
+ * over every upstream of its zone.  So the timeout of every member starts
+ * again, and the loads from before the pause are discarded. */
 void
 members_after_pause(struct entry *e)
 {
@@ -444,6 +446,6 @@
         m->n_loads = 0;
     }
     e->members->heartbeat_due_us = e->now.mono_us;
-    /* What ran out during the sleep must not be started after it. */
+    /* Jobs whose deadline passed during the pause must not be started. */
     jobs_tick(e);
 }
--- a/src/quota.c
+++ b/src/quota.c
@@ -5,11 +5,10 @@
 
 #include "member.h"
 
-#define DIVIDE_INTERVAL_US                                                    \
-    (250 * USEC_PER_MSEC)              /* between looks at the heartbeats */
-#define ROTATION_US (1 * USEC_PER_SEC) /* fractions of slots go round */
+#define DIVIDE_INTERVAL_US (250 * USEC_PER_MSEC)
+#define ROTATION_US (1 * USEC_PER_SEC) /* between turns of odd slots */
 
-static const double BUCKET_S = 0.25; /* starts saved up at most, in seconds */
+static const double BUCKET_S = 0.25; /* token bucket size, seconds of rate */
 
 /** struct quota - this instance's share of one limit */
 struct quota {
@@ -17,12 +16,12 @@
     bool of_team;
     uint32_t max_running;   /* in the region; 0: no limit */
     uint32_t starts_per_s;  /* in the region; 0: no limit */
-    uint32_t running;       /* from here */
-    uint32_t running_share; /* our share of max_running */
-    double rate;            /* our share of starts_per_s */
-    double tokens;          /* starts that may be made */
-    int64_t refilled_us;
-    bool blocked; /* something waits for it */
+    uint32_t running;       /* tasks started here */
+    uint32_t running_share; /* share of max_running */
+    double rate;            /* share of starts_per_s */
+    double tokens;          /* token bucket: starts allowed now */
+    int64_t refilled_us;    /* last refill of @tokens */
+    bool blocked;           /* a start was refused since the last wake */
 };
 
 struct quotas {
@@ -64,8 +63,9 @@
     return conf != NULL && name_equal(conf->team, q->name);
 }
 
-/** demand_of() - tasks of the limit's services that a member runs or has
- * queued; our own from what we know now, others' from their heartbeats */
+/** demand_of() - demand of a member: running and queued tasks of the services
+ * under the limit, from local state for this instance and from heartbeats for
+ * others */
 static double
 demand_of(const struct entry *e, const struct quota *q, const struct member *m)
 {
@@ -89,7 +89,8 @@
     return demand;
 }
 
-/** reachable_share() - of every limit: zones where nobody is up keep theirs */
+/** reachable_share() - the part of every limit that may be divided among the
+ * members that are up: zones without one keep their part */
 static double
 reachable_share(const struct entry *e)
 {
@@ -110,14 +111,15 @@
     return n_zones > 0 ? (double)reached / (double)n_zones : 1.0;
 }
 
-/** struct division - of a limit between the members that are up */
+/** struct division - division of a limit among the members that are up, whose
+ * parts add up to 1 */
 struct division {
-    double before; /* parts of members with smaller names, all adding to 1 */
-    double own;    /* our part */
+    double before; /* sum of the parts of members with smaller names */
+    double own;    /* part of this instance */
 };
 
-/** member_part() - in proportion to what is wanted where that is more than
- * there is; else each gets what it wants and an even part of the rest */
+/** member_part() - the part of a member: in proportion to demand if the total
+ * demand exceeds the limit, else its demand and an equal part of the rest */
 static double
 member_part(double demand, double total_demand, double limit, size_t n)
 {
@@ -158,9 +160,10 @@
     return d;
 }
 
-/** round_slots() - rounds the parts so that their sum is the limit.  Which
- * instances get the odd slots changes each second: with a limit below the
- * number of instances some would otherwise never start anything. */
+/** round_slots() - rounds the part of this instance so that the sum over all
+ * instances is the limit.  Which instances get the odd slots changes each
+ * second: with a limit below the number of instances, some of them could
+ * otherwise never start a task. */
 static uint32_t
 round_slots(const struct entry *e, const struct division *d, double limit)
 {
@@ -192,7 +195,7 @@
     }
 }
 
-/* The configuration */
+/* Configuration */
 
 static struct quota *
 quota_find(struct quotas *qs, struct name name, bool of_team)
@@ -242,7 +245,6 @@
     }
 }
 
-/** attach() - what runs already counts under the new limits */
 void
 quotas_attach(struct entry *e, struct service_state *s)
 {
--- a/src/slot.c
+++ b/src/slot.c
@@ -9,14 +9,11 @@
 #include "lend.h"
 #include "upstream.h"
 
-#define IDLE_RETURN_US                                                        \
-    (2 * USEC_PER_SEC) /* before a slot goes back unasked                     \
-                        */
-#define RETURN_BATCH_US (20 * USEC_PER_MSEC) /* returns wait for others */
-#define CHECK_INTERVAL_US                                                     \
-    (500 * USEC_PER_MSEC) /* between looks at idle slots */
-
-/** struct slot_returns - slots to be returned to one lender */
+#define IDLE_RETURN_US (2 * USEC_PER_SEC)       /* idle before a return */
+#define RETURN_BATCH_US (20 * USEC_PER_MSEC)    /* delay, for batches */
+#define CHECK_INTERVAL_US (500 * USEC_PER_MSEC) /* between idle checks */
+
+/** struct slot_returns - slots to be returned to one lender in one message */
 struct slot_returns {
     struct name lender;
     struct rec_slot_back *items;
@@ -28,8 +25,8 @@
     struct table places;
     struct slot_returns returns[INSTANCES_MAX];
     size_t n_returns;
-    int64_t send_us;  /* when returns are sent */
-    int64_t check_us; /* when borrowed slots may have been idle for long */
+    int64_t send_us;  /* when pending returns are sent */
+    int64_t check_us; /* when borrowed slots are next checked */
 };
 
 struct slots *
@@ -133,8 +130,9 @@
     p->unreported_successes = 0;
 }
 
-/** schedule_check() - looks are taken at fixed times, so that what falls due
- * between two of them goes back in one message to each lender */
+/** schedule_check() - schedules a check of borrowed slots at or after @us.
+ * Checks take place at multiples of CHECK_INTERVAL_US, so that slots that fall
+ * due between two checks are returned in one message to each lender. */
 static void
 schedule_check(struct entry *e, int64_t us)
 {
@@ -147,8 +145,8 @@
     }
 }
 
-/** return_idle() - what is idle at a closed place goes back soon, with others
- */
+/** return_idle() - returns the idle slots of a borrowed place that is being
+ * closed, batched with other returns */
 static void
 return_idle(struct entry *e, struct place *p)
 {
@@ -218,7 +216,7 @@
     }
 }
 
-/* Borrowed slots: coming, idle, going */
+/* Borrowed slots */
 
 static void
 send_returns(struct entry *e)
@@ -242,8 +240,8 @@
     }
 }
 
-/** check_borrowed() - closes what has expired, returns what has been idle
- * for @idle_us; the time to look again */
+/** check_borrowed() - closes the place if its grant has expired, returns its
+ * slots if idle for @idle_us; returns the time of the next check */
 static int64_t
 check_borrowed(struct entry *e, struct place *p, int64_t idle_us)
 {
@@ -375,7 +373,7 @@
     }
 }
 
-/* Ends of leases, holders, members and upstreams */
+/* Loss of holds, members and upstreams */
 
 void
 slots_on_epoch_raised(struct entry *e, struct upstream *u)
@@ -422,7 +420,7 @@
     lend_member_down(e, member);
     while ((p = table_next(&sl->places, &at, &h)) != NULL) {
         if (!place_is_own(p) && name_equal(p->lender, member)) {
-            p->slots = 0; /* nobody is there to return them to */
+            p->slots = 0; /* the lender is down: nothing to return */
             slots_close_place(e, p);
         }
     }
--- a/src/start.c
+++ b/src/start.c
@@ -13,46 +13,46 @@
 #include "upstream.h"
 
 enum {
-    TAIL_TIMEOUT_FACTOR =
-        4, /* 95th percentiles after which a start is silent */
-    LONGEST_TIMEOUT_FACTOR = 2, /* the same with 99th percentiles */
-    REVOKE_TIME_DIVISOR =
-        4,                /* of the time to the deadline, left for questions */
-    REVOKE_TRIES_MIN = 6, /* questions that reached nobody, before giving up */
-    REVOKE_DOUBLINGS_MAX = 4,
+    /* A start times out after the longer of these multiples of the estimated
+     * 95th and 99th percentile of the run time. */
+    TAIL_TIMEOUT_FACTOR = 4,
+    LONGEST_TIMEOUT_FACTOR = 2,
+    REVOKE_TIME_DIVISOR = 4,  /* 1/4 of the time left is for revokes */
+    REVOKE_TRIES_MIN = 6,     /* failed revokes before giving up, at least */
+    REVOKE_DOUBLINGS_MAX = 4, /* of the time between revokes */
 };
 
 #define START_TIMEOUT_MIN_US (1 * USEC_PER_SEC)
 #define REVOKE_BACKOFF_US (200 * USEC_PER_MSEC)
 
-/** struct start - one start in flight */
+/** struct start - one task start in flight */
 struct start {
-    uint64_t call; /* first: looked up by it */
+    uint64_t call; /* first: key of by_call */
     struct handle self;
-    struct handle job; /* none once the job is over */
+    struct handle job; /* none once the job has ended */
     struct handle place;
     struct handle upstream;
     struct service_state *service;
     struct key_id key;
     uint32_t index;
-    uint32_t failed_revokes; /* questions that reached nobody */
+    uint32_t failed_revokes; /* undelivered revokes in a row */
     struct name name;
     struct address address;
     uint64_t incarnation;
     uint64_t epoch;
     struct resources need;
-    bool own; /* counted in what the upstream's own record has used */
+    bool own; /* resources are counted in upstream->used */
     int64_t declared_us;
     int64_t expected_us;
     int64_t sent_us;
     int64_t deadline_us;
-    uint64_t revoke_call; /* call of the revoke on its way; 0: none */
-    int64_t revoke_us;    /* when to ask; 0: not planned */
+    uint64_t revoke_call; /* call of the revoke in flight; 0: none */
+    int64_t revoke_us;    /* when to send a revoke; 0: none planned */
 };
 
-/** struct revoke_call - a revoke on its way */
+/** struct revoke_call - a revoke in flight */
 struct revoke_call {
-    uint64_t call; /* first: looked up by it */
+    uint64_t call; /* first: key of revoke_by_call */
     struct handle self;
     struct handle start;
 };
@@ -115,7 +115,7 @@
     used->accelerators -= need.accelerators;
 }
 
-/** take_slot() - counts a start at its place and its upstream */
+/** take_slot() - counts a start at its place, upstream and service */
 static void
 take_slot(struct entry *e, struct start *s, struct place *p)
 {
@@ -168,9 +168,11 @@
     return a > b ? a : b;
 }
 
-/* A silent connection hides an outcome that the upstream knows.  Asked for
- * after the job's deadline it is of no use: the caller was told "unknown" of a
- * task that ran.  So the question goes out while some of the time is left. */
+/* When a connection hangs, the upstream knows the outcome but this instance
+ * does not.  A revoke sent after the job's deadline is useless: the caller has
+ * been answered "unknown" for a task that ran.  So the start times out early
+ * enough to leave 1/REVOKE_TIME_DIVISOR of the time to the deadline for
+ * revokes. */
 static int64_t
 latest_timeout(const struct entry *e, const struct start *s)
 {
@@ -179,8 +181,8 @@
     return max_us(left - left / REVOKE_TIME_DIVISOR, START_TIMEOUT_MIN_US);
 }
 
-/** start_timeout() - a question too early costs a message, one too late costs
- * the caller's time */
+/** start_timeout() - timeout of a start request, in microseconds.  Too short
+ * costs a message for the revoke, too long delays the caller's answer. */
 static int64_t
 start_timeout(const struct entry *e, const struct start *s)
 {
@@ -256,7 +258,7 @@
     }
 }
 
-/* Questions */
+/* Revokes */
 
 static void
 drop_revoke_call(struct starts *ss, struct start *s)
@@ -313,10 +315,10 @@
     timers_add(&starts_of(e)->timers, s->revoke_us, s->self);
 }
 
-/* Ends */
+/* Outcomes */
 
-/** end_start() - forgets a start and frees its slot; its job, if that still
- * waits for it */
+/** end_start() - removes a start and frees its slot; returns its job, or NULL
+ * if the job has ended */
 static struct job *
 end_start(struct entry *e, struct start *s)
 {
@@ -369,10 +371,10 @@
     }
 }
 
-/* A full upstream's refusal costs a message and is no sign of illness, but
- * asking again at once would cost more.  The place is left alone for a while,
- * longer with each refusal in a row; one that refuses everything is so tried
- * ever more rarely. */
+/* A refusal by a full upstream costs one message and does not count as a
+ * failure, but retrying at once would cost more.  The place is blocked for a
+ * time that grows with each refusal in a row, so an upstream that refuses
+ * every start is tried less and less often. */
 static void
 record_refusal(struct entry *e, struct start *s)
 {
@@ -422,7 +424,8 @@
     jobs_task_ended(e, job, index, ok, result);
 }
 
-/** end_not_started() - @charged against the retry budget */
+/** end_not_started() - requeues the task; @charged: counts against the retry
+ * budget */
 static void
 end_not_started(struct entry *e, struct start *s, bool charged)
 {
@@ -434,8 +437,8 @@
     }
 }
 
-/* Whether the task ran will never be known, so the job can never be complete:
- * its caller is told now rather than at the deadline. */
+/* Whether the task ran can no longer be determined, so the job can never
+ * complete: it fails now rather than at its deadline. */
 static void
 end_unknown(struct entry *e, struct start *s)
 {
--- a/src/successor.c
+++ b/src/successor.c
@@ -7,12 +7,14 @@
 
 enum { RECORDS_MAX = 32 };
 
+/** struct successor_record - the answers of an incarnation of @member are at
+ * @successor */
 struct successor_record {
     struct name member;
     uint64_t incarnation;
     struct name successor;
     uint64_t successor_incarnation;
-    int64_t expires_us; /* monotonic */
+    int64_t expires_us; /* expiry, monotonic */
 };
 
 struct successors {
@@ -51,7 +53,7 @@
     return NULL;
 }
 
-/* A free place, or that of the one to be forgotten first. */
+/* A free record, or else the one that expires first. */
 static struct successor_record *
 record_to_use(const struct entry *e)
 {
@@ -87,8 +89,8 @@
     to->expires_us = e->now.mono_us + left_us;
 }
 
-/* Each incarnation stops once, so a chain has no rings unless somebody lies;
- * the count keeps even those from hanging the process. */
+/* Each incarnation stops once, so a chain has no cycle unless a peer sends
+ * false records; the limit of hops ends the loop in that case too. */
 bool
 successors_follow(const struct entry *e, struct name *at,
                   uint64_t *incarnation)
@@ -108,8 +110,8 @@
     return found;
 }
 
-/* A heartbeat is taken off each time it is told: otherwise two instances
- * could remind each other for ever. */
+/* The remaining time is reduced by a heartbeat interval each time a record is
+ * sent: otherwise two instances could renew each other's record forever. */
 size_t
 successors_list(const struct entry *e, struct rec_moved **out)
 {
@@ -140,9 +142,9 @@
     return n;
 }
 
-/* A message of its own: instances of an earlier version refuse a heartbeat
- * with a field more and would take this one for dead, but they pass over a
- * kind that they do not know. */
+/* The records have a message kind of their own, because instances of an
+ * earlier version ignore an unknown kind of message, but reject a heartbeat
+ * with an additional field and would consider its sender down. */
 void
 successors_send(struct entry *e, struct name to)
 {
@@ -157,7 +159,8 @@
     }
 }
 
-/* Who moved its own answers knows best; others only tell what is new. */
+/* A report by the stopped instance itself replaces the record; one by another
+ * instance is used only if there is no record yet. */
 static void
 merge_record(struct entry *e, struct name from, const struct rec_moved *r)
 {
--- a/src/upstream.c
+++ b/src/upstream.c
@@ -12,10 +12,11 @@
 #include "member.h"
 
 enum {
-    SLOTS_MAX = 1024, /* of one upstream */
+    SLOTS_MAX = 1024, /* slots of one upstream */
 };
 
-/** struct notified - which life of a member got all we know of upstreams */
+/** struct notified - the incarnation of a member that was sent all upstreams
+ */
 struct notified {
     struct name member;
     uint64_t incarnation;
@@ -26,7 +27,7 @@
     struct map by_name;
     struct notified notified[INSTANCES_MAX];
     size_t n_notified;
-    int64_t next_us; /* of the earliest timer */
+    int64_t next_us; /* time of the earliest timer */
 };
 
 struct upstreams *
@@ -98,7 +99,7 @@
     return e->upstreams->next_us;
 }
 
-/* News to the zone */
+/* Notification of the zone */
 
 void
 upstreams_notify_zone(struct entry *e, const struct upstream *u)
@@ -115,7 +116,7 @@
     members_send_to_zone(e, &m);
 }
 
-/* Coming and going */
+/* Announcement and removal */
 
 static struct upstream *
 add_upstream(struct entry *e, const struct rec_upstream_info *info)
@@ -153,7 +154,7 @@
     table_remove(&us->table, h);
 }
 
-/** announce_error() - what is wrong with an announcement; NULL if nothing */
+/** announce_error() - error text for an announcement; NULL if it is valid */
 static const char *
 announce_error(const struct entry *e, const struct rec_upstream_info *info)
 {
@@ -193,9 +194,9 @@
            a->accelerators == b->accelerators && a->leaving == b->leaving;
 }
 
-/** record_report() - foreign starts only end, none is added under our epoch,
- * so a report can lower their number but never raise it: it is older than what
- * this instance itself counts */
+/** record_report() - records a report of an upstream's running tasks.  The
+ * number of foreign tasks is only ever lowered: none can be started under the
+ * epoch of this instance, and a report is older than the local counts. */
 static void
 record_report(struct entry *e, struct upstream *u, uint64_t busy)
 {
@@ -210,15 +211,16 @@
     }
 }
 
-/** merge_info() - takes over what another source says of an incarnation;
- * returns whether anything but the time changed */
+/** merge_info() - updates the record of an incarnation from an announcement or
+ * another member's record; returns whether more than the time changed */
 static bool
 merge_info(struct entry *e, struct upstream *u,
            const struct rec_upstream_info *new)
 {
     struct rec_upstream_info info = *new;
 
-    info.leaving |= u->info.leaving; /* a drained one announces itself still */
+    /* A drained upstream goes on announcing itself as not leaving. */
+    info.leaving |= u->info.leaving;
     info.epoch = u->info.epoch;
     info.holder = u->info.holder;
     info.quarantined = u->info.quarantined;
@@ -231,9 +233,9 @@
     return true;
 }
 
-/** find_or_add() - the record for an incarnation, replacing an earlier one;
- * NULL if a later one is known; *@changed tells whether others must hear of it
- */
+/** find_or_add() - finds or adds the record of an incarnation, and removes
+ * that of an earlier one; NULL if a later incarnation is known.  *@changed is
+ * set to whether other members must be notified. */
 static struct upstream *
 find_or_add(struct entry *e, const struct rec_upstream_info *info,
             bool *changed)
@@ -358,7 +360,7 @@
     reply_announced(e, ev->request, u);
 }
 
-/* What other members say */
+/* Messages from other members */
 
 void
 upstreams_on_news(struct entry *e, struct name from,
@@ -411,8 +413,9 @@
     return &us->notified[us->n_notified++];
 }
 
-/** sends_to_new_members() - each upstream is told of by its holder; where
- * nobody holds it, by everyone */
+/** sends_to_new_members() - whether this instance sends an upstream to new
+ * members: an upstream is sent by its holder, or by every instance if it has
+ * none */
 static bool
 sends_to_new_members(const struct entry *e, const struct upstream *u)
 {
@@ -446,8 +449,9 @@
     entry_send(e, to, &m);
 }
 
-/** send_to_new_members() - an instance that restarted knows no upstream and
- * would refuse every job until each has announced itself to it again */
+/** send_to_new_members() - sends all upstreams to members that came up.  An
+ * instance that restarted knows no upstream, and would otherwise refuse every
+ * job until the upstreams have announced themselves to it again. */
 static void
 send_to_new_members(struct entry *e)
 {
@@ -484,7 +488,7 @@
     }
 }
 
-/* Time */
+/* Expiry */
 
 void
 upstreams_tick(struct entry *e)
@@ -513,7 +517,7 @@
 {
     uint64_t connections = u->info.connections;
 
-    /* One connection stays free for fences and revokes. */
+    /* One connection is reserved for fences and revokes. */
     if (connections > 1) {
         connections--;
     }
