--- a/tests/entry_net.c
+++ b/tests/entry_net.c
@@ -6,12 +6,12 @@
 
 #include "key.h"
 
-enum { LATE_MAX_MSEC = 40, ANNOUNCE_SEC = 1, SLOTS = 16 };
+enum { DELAY_MAX_MSEC = 40, ANNOUNCE_SEC = 1, SLOTS = 16 };
 
 #define WALL_OFFSET INT64_C(1764720000000000)
 
 static void *
-must(void *p)
+check_alloc(void *p)
 {
     if (p == NULL) {
         abort();
@@ -77,7 +77,8 @@
 
     if (n->n_packets == n->room) {
         n->room = n->room > 0 ? n->room * 2 : 64;
-        n->packets = must(realloc(n->packets, n->room * sizeof(*n->packets)));
+        n->packets =
+            check_alloc(realloc(n->packets, n->room * sizeof(*n->packets)));
     }
     p = &n->packets[n->n_packets++];
     memset(p, 0, sizeof(*p));
@@ -89,7 +90,7 @@
 }
 
 static size_t
-packet_first(const struct enet *n)
+first_packet(const struct enet *n)
 {
     size_t first = 0;
 
@@ -117,15 +118,15 @@
 }
 
 static enum enet_delivery
-fate_of(struct enet *n, int from, int to, const struct msg *m)
+delivery_of(struct enet *n, int from, int to, const struct msg *m)
 {
     int roll = (int)enet_random(n, 100);
 
     if (n->opts.filter != NULL) {
-        enum enet_delivery fate = n->opts.filter(n, from, to, m);
+        enum enet_delivery delivery = n->opts.filter(n, from, to, m);
 
-        if (fate != ENET_DELIVER) {
-            return fate;
+        if (delivery != ENET_DELIVER) {
+            return delivery;
         }
     }
     if (roll < n->opts.lost_percent) {
@@ -144,7 +145,7 @@
 on_send(struct enet *n, int from, const struct ef_send *f)
 {
     int to = node_of(n, f->to);
-    enum enet_delivery fate;
+    enum enet_delivery delivery;
 
     if (to < 0) {
         if (n->opts.on_unknown_dest != NULL) {
@@ -154,16 +155,16 @@
     }
     n->messages++;
     n->messages_by_kind[f->msg.kind]++;
-    fate = fate_of(n, from, to, &f->msg);
-    if (fate == ENET_DROP) {
+    delivery = delivery_of(n, from, to, &f->msg);
+    if (delivery == ENET_DROP) {
         return;
     }
-    if (fate == ENET_DELAY || fate == ENET_DUPLICATE) {
-        int64_t late = (int64_t)enet_random(n, LATE_MAX_MSEC) * USEC_PER_MSEC;
+    if (delivery == ENET_DELAY || delivery == ENET_DUPLICATE) {
+        int64_t late = (int64_t)enet_random(n, DELAY_MAX_MSEC) * USEC_PER_MSEC;
 
         send_packet(n, from, to, &f->msg, ENET_DELAY_US + late);
     }
-    if (fate != ENET_DELAY) {
+    if (delivery != ENET_DELAY) {
         send_packet(n, from, to, &f->msg, ENET_DELAY_US);
     }
 }
@@ -181,7 +182,7 @@
     p->event.u.fenced.outcome = FENCE_OK;
     p->event.u.fenced.epoch = f->epoch;
     if (i < 0) {
-        return; /* announced by the test itself */
+        return; /* announced by the test, so any epoch is accepted */
     }
     if (f->epoch < n->upstreams[i].epoch) {
         p->event.u.fenced.outcome = FENCE_STALE;
@@ -196,8 +197,8 @@
 {
     struct enet_start *s;
 
-    n->starts =
-        must(realloc(n->starts, (n->n_starts + 1) * sizeof(*n->starts)));
+    n->starts = check_alloc(
+        realloc(n->starts, (n->n_starts + 1) * sizeof(*n->starts)));
     s = &n->starts[n->n_starts++];
     s->key = f->key;
     s->index = f->index;
@@ -299,7 +300,7 @@
         }
         else if (f->kind == EF_TEXT) {
             free(a->text);
-            a->text = must(strdup(f->u.text.json));
+            a->text = check_alloc(strdup(f->u.text.json));
         }
         else if (f->kind == EF_ANSWER) {
             job_answer_free(a->answer);
@@ -310,7 +311,7 @@
 }
 
 static void
-carry_out(struct enet *n, int node, const struct effect *f)
+apply_effect(struct enet *n, int node, const struct effect *f)
 {
     switch (f->kind) {
     case EF_SEND:
@@ -345,8 +346,8 @@
     }
 }
 
-/* A step's effects are taken aside first: carrying one out may cause another
- * step. */
+/* Each step has its own list of effects, since carrying out one of them may
+ * cause another step. */
 void
 enet_step(struct enet *n, int node, const struct event *ev)
 {
@@ -363,7 +364,7 @@
                           n->nodes[node].name.s, reason_text(l->reason),
                           l->subject.s, l->detail);
         }
-        carry_out(n, node, &fx.items[i]);
+        apply_effect(n, node, &fx.items[i]);
     }
     effects_free(&fx);
 }
@@ -373,7 +374,8 @@
 {
     struct enet_answer *a;
 
-    n->answers = must(realloc(n->answers, (n->n_answers + 1) * sizeof(*a)));
+    n->answers =
+        check_alloc(realloc(n->answers, (n->n_answers + 1) * sizeof(*a)));
     a = &n->answers[n->n_answers++];
     memset(a, 0, sizeof(*a));
     a->request = ++n->last_request;
@@ -402,7 +404,7 @@
 enet_submit(struct enet *n, int node, const char *key, int n_tasks,
             uint64_t body)
 {
-    struct job_spec *spec = must(job_spec_new((size_t)n_tasks));
+    struct job_spec *spec = check_alloc(job_spec_new((size_t)n_tasks));
 
     spec->service = name_of("camp");
     spec->digest = body;
@@ -476,10 +478,10 @@
              moment_of(n).wall_us - ago_us, (uint64_t)number, out);
 }
 
-/* ---- life and death ---- */
+/* ---- start and end of nodes ---- */
 
 static void
-tell_peers(struct enet *n, int node, enum event_kind kind)
+notify_peers(struct enet *n, int node, enum event_kind kind)
 {
     for (int i = 0; i < n->n_nodes; i++) {
         struct event ev = {.kind = kind};
@@ -511,7 +513,7 @@
     if (n->opts.adjust_options != NULL) {
         n->opts.adjust_options(&o);
     }
-    n->nodes[node].e = must(entry_new(&o));
+    n->nodes[node].e = check_alloc(entry_new(&o));
     n->nodes[node].stopped = false;
     ev.u.config = n->config;
     if (!n->opts.no_config) {
@@ -520,7 +522,7 @@
 }
 
 static void
-break_packets(struct enet *n, int node)
+drop_connection_events(struct enet *n, int node)
 {
     size_t kept = 0;
 
@@ -542,8 +544,8 @@
 {
     entry_free(n->nodes[node].e);
     n->nodes[node].e = NULL;
-    break_packets(n, node);
-    tell_peers(n, node, EV_PEER_DOWN);
+    drop_connection_events(n, node);
+    notify_peers(n, node, EV_PEER_DOWN);
 }
 
 void
@@ -554,19 +556,19 @@
     }
     n->nodes[node].incarnation++;
     start_node(n, node, false);
-    tell_peers(n, node, EV_PEER_UP);
+    notify_peers(n, node, EV_PEER_UP);
 }
 
 static struct config *
 make_config(void)
 {
-    struct config *c = must(calloc(1, sizeof(*c)));
+    struct config *c = check_alloc(calloc(1, sizeof(*c)));
 
     c->version = 1;
     c->n_services = 1;
-    c->services = must(calloc(1, sizeof(*c->services)));
+    c->services = check_alloc(calloc(1, sizeof(*c->services)));
     c->n_teams = 1;
-    c->teams = must(calloc(1, sizeof(*c->teams)));
+    c->teams = check_alloc(calloc(1, sizeof(*c->teams)));
     c->teams[0].name = name_of("pilgrims");
     c->teams[0].weight = 1;
     c->services[0] = (struct service_conf){
@@ -585,7 +587,7 @@
 struct enet *
 enet_new(const struct enet_options *o)
 {
-    struct enet *n = must(calloc(1, sizeof(*n)));
+    struct enet *n = check_alloc(calloc(1, sizeof(*n)));
 
     n->opts = *o;
     n->random = o->seed;
@@ -618,7 +620,7 @@
         start_node(n, i, o->new_region);
     }
     for (int i = 0; i < n->n_nodes; i++) {
-        tell_peers(n, i, EV_PEER_UP);
+        notify_peers(n, i, EV_PEER_UP);
     }
     for (int i = 0; i < n->n_upstreams; i++) {
         announce(n, &n->upstreams[i]);
@@ -667,7 +669,7 @@
 }
 
 static int64_t
-tick_due(const struct enet *n, int64_t until_us, int *node)
+next_tick(const struct enet *n, int64_t until_us, int *node)
 {
     int64_t first = until_us;
 
@@ -687,7 +689,7 @@
 }
 
 static bool
-announce_due(struct enet *n, int64_t before_us)
+announce_next(struct enet *n, int64_t before_us)
 {
     for (int i = 0; i < n->n_upstreams; i++) {
         struct enet_upstream *u = &n->upstreams[i];
@@ -702,8 +704,8 @@
     return false;
 }
 
-/* A frozen node's packets wait for it to wake, but for heartbeats, which
- * would only fill its sockets. */
+/* Packets to a paused node are kept until it resumes, except heartbeats, which
+ * are dropped. */
 static void
 hold_packet(struct enet *n, size_t i)
 {
@@ -736,15 +738,15 @@
 
     while (n->now_us < until) {
         int node;
-        int64_t at = tick_due(n, until, &node);
+        int64_t at = next_tick(n, until, &node);
         size_t first;
 
-        first = packet_first(n);
+        first = first_packet(n);
         if (n->n_packets > 0 && n->packets[first].at_us <= at) {
             at = n->packets[first].at_us;
             node = -2;
         }
-        if (announce_due(n, at)) {
+        if (announce_next(n, at)) {
             continue;
         }
         n->now_us = at > n->now_us ? at : n->now_us;
@@ -760,7 +762,7 @@
     }
 }
 
-/* ---- what came of it ---- */
+/* ---- results ---- */
 
 const struct enet_answer *
 enet_answer(const struct enet *n, uint64_t request)
@@ -824,19 +826,19 @@
 enet_count_repeated_starts(const struct enet *n)
 {
     struct enet_start *sorted;
-    int twice = 0;
+    int repeated = 0;
 
     if (n->n_starts == 0) {
         return 0;
     }
-    sorted = must(calloc(n->n_starts, sizeof(*sorted)));
+    sorted = check_alloc(calloc(n->n_starts, sizeof(*sorted)));
     memcpy(sorted, n->starts, n->n_starts * sizeof(*sorted));
     qsort(sorted, n->n_starts, sizeof(*sorted), compare_starts);
     for (size_t i = 1; i < n->n_starts; i++) {
-        twice += compare_starts(&sorted[i - 1], &sorted[i]) == 0 ? 1 : 0;
+        repeated += compare_starts(&sorted[i - 1], &sorted[i]) == 0 ? 1 : 0;
     }
     free(sorted);
-    return twice;
+    return repeated;
 }
 
 int
--- a/tests/entry_net.h
+++ b/tests/entry_net.h
@@ -1,8 +1,8 @@
 /**
  * DOC: entry_net - several entry reducers on a fake network, in virtual time
  *
- * Messages take a millisecond and a half; a test may lose, double, delay or
- * reorder them.  Upstreams are fakes that record every start.
+ * Messages take 1.5 ms; a test may drop, duplicate, delay or reorder them.
+ * Upstreams are fakes that record every start.
  */
 #ifndef BM_ENTRY_NET_H
 #define BM_ENTRY_NET_H
@@ -12,9 +12,8 @@
 enum {
     ENET_NODES_MAX = 12,
     ENET_UPSTREAMS_MAX = 32,
-    ENET_PER_ZONE = 8, /* upstreams in a zone */
-    ENET_ALL_TASKS =
-        -1, /* of enet_count_starts(): all tasks of the key together */
+    ENET_PER_ZONE = 8,   /* upstreams in a zone */
+    ENET_ALL_TASKS = -1, /* for enet_count_starts(): all tasks of the key */
 };
 
 #define ENET_DELAY_US INT64_C(1500)
@@ -31,30 +30,31 @@
     uint64_t seed;
     bool new_region;
     int64_t run_us; /* run time of every task */
-    /* in per cent, of all messages between instances */
+    /* percentages of the messages between instances */
     int lost_percent;
     int duplicated_percent;
-    int delayed_percent; /* by up to 40 ms, so that later ones overtake */
-    /* more by hand: NULL passes all */
+    int delayed_percent; /* by up to 40 ms, so that messages are reordered */
+    /* faults chosen by the test; NULL: none */
     enum enet_delivery (*filter)(struct enet *n, int from, int to,
                                  const struct msg *m);
-    /* messages to somebody who is no node, a control process say */
+    /* gets messages to processes that are no node, e.g. control */
     void (*on_unknown_dest)(struct enet *n, int from, struct name to,
                             const struct msg *m);
     void (*adjust_options)(struct entry_options *o);
-    bool no_config; /* nodes get none at their start */
+    bool no_config; /* nodes start without a configuration */
 };
 
-/** struct enet_answer - what a caller got, NULL result while it waits */
+/** struct enet_answer - a request and its answer, if it has come */
 struct enet_answer {
     uint64_t request;
     int node;
-    uint64_t node_incarnation; /* incarnation that was asked */
-    int answer_count;          /* it was answered: more than once is a fault */
+    uint64_t
+        node_incarnation; /* incarnation of the node that got the request */
+    int answer_count;     /* number of answers: more than one is a fault */
     enum effect_kind kind;
     struct ef_problem problem;
     struct job_answer *answer;
-    char *text; /* JSON for operators */
+    char *text; /* JSON of an EF_TEXT */
 };
 
 struct enet_packet {
@@ -71,8 +71,8 @@
     struct name name;
     struct name zone;
     uint64_t incarnation;
-    struct entry *e; /* NULL while dead */
-    bool is_paused;  /* paused: gets nothing, sends nothing */
+    struct entry *e; /* NULL while not running */
+    bool is_paused;  /* process paused: neither receives nor sends */
     bool stopped;
 };
 
@@ -105,7 +105,7 @@
     uint64_t random;
     uint64_t next_order;
     uint64_t last_request;
-    uint64_t messages; /* sent between instances */
+    uint64_t messages; /* sent between nodes */
     uint64_t messages_by_kind[MSG_KINDS];
     struct enet_packet *packets;
     size_t n_packets;
@@ -118,50 +118,55 @@
     struct effects fx;
 };
 
+/** enet_new() - starts all nodes, announces the upstreams and runs 1 s */
 struct enet *enet_new(const struct enet_options *o);
 void enet_free(struct enet *n);
 
-/** enet_random() - seeded; in 0 to below @below */
+/** enet_random() - next seeded random number, from 0 to below @below */
 uint64_t enet_random(struct enet *n, uint64_t below);
 
-/** enet_run() - goes on for that long */
+/** enet_run() - advances the virtual time by @for_us */
 void enet_run(struct enet *n, int64_t for_us);
 
-/** enet_step() - one event at one node, now */
+/** enet_step() - applies an event to a node, now, and its effects */
 void enet_step(struct enet *n, int node, const struct event *ev);
 
-/** enet_submit() - a job of @n_tasks; @body stands for its content; returns
- * the request */
+/** enet_submit() - submits a job of @n_tasks with @body as digest of its body;
+ * returns the request */
 uint64_t enet_submit(struct enet *n, int node, const char *key, int n_tasks,
                      uint64_t body);
 
-/** enet_submit_spec() - the same with a job as given, which it frees */
+/** enet_submit_spec() - submits @spec, which it frees; returns the request */
 uint64_t enet_submit_spec(struct enet *n, int node, const char *key,
                           struct job_spec *spec, bool respond_async);
+
+/** enet_get(), enet_explain(), enet_dump(), enet_cancel() - return the request
+ */
 uint64_t enet_get(struct enet *n, int node, const char *key, bool wait);
 uint64_t enet_explain(struct enet *n, int node, const char *key);
 uint64_t enet_dump(struct enet *n, int node);
 uint64_t enet_cancel(struct enet *n, int node, const char *key);
 void enet_stop(struct enet *n, int node);
 
-/** enet_inject() - a message from a node, or from anybody else, arrives now;
- * frees @m */
+/** enet_inject() - delivers a message now, from a node or any other name;
+ * frees what @m owns */
 void enet_inject(struct enet *n, struct name from, int to, struct msg *m);
 
-/** enet_mint_key() - a minted key of a zone, issued so long before now */
+/** enet_mint_key() - mints a key of a zone, issued @ago_us before now */
 void enet_mint_key(const struct enet *n, const char *zone, int number,
                    int64_t ago_us, char out[KEY_TEXT_SIZE]);
 
-/** enet_kill() - the process is gone; connections break */
+/** enet_kill() - ends a node's process, which breaks its connections */
 void enet_kill(struct enet *n, int node);
 
-/** enet_restart() - a new incarnation with nothing remembered */
+/** enet_restart() - starts a new incarnation of a node without any state */
 void enet_restart(struct enet *n, int node);
 
-/** enet_pause() - pauses a process, or lets it go on; the clock goes on */
+/** enet_pause() - pauses or resumes a node's process; its clock goes on */
 void enet_pause(struct enet *n, int node, bool frozen);
 
-/** enet_answer() - of a request; its kind is EFFECT_KINDS while it waits */
+/** enet_answer() - the answer to a request; its kind is EFFECT_KINDS before it
+ * has come */
 const struct enet_answer *enet_answer(const struct enet *n, uint64_t request);
 
 /** enet_refused_with() - whether the request was refused with that problem */
@@ -173,18 +178,19 @@
 bool enet_answered_with(const struct enet *n, uint64_t request,
                         enum job_status status, enum reason reason);
 
-/** enet_count_starts() - starts of a task that upstreams saw */
+/** enet_count_starts() - number of starts of a task at upstreams */
 int enet_count_starts(const struct enet *n, const char *key, int index);
 
-/** enet_count_repeated_starts() - tasks that upstreams saw started more than
- * once */
+/** enet_count_repeated_starts() - number of repeated starts of tasks at
+ * upstreams */
 int enet_count_repeated_starts(const struct enet *n);
 
-/** enet_count_unanswered() - requests without an answer at instances that were
- * up all the time */
+/** enet_count_unanswered() - number of requests without an answer at nodes
+ * that did not restart since */
 int enet_count_unanswered(const struct enet *n);
 
-/** enet_count_repeated_answers() - requests answered more than once */
+/** enet_count_repeated_answers() - number of requests answered more than once
+ */
 int enet_count_repeated_answers(const struct enet *n);
 
 #endif
--- a/tests/handover_test.c
+++ b/tests/handover_test.c
@@ -1,4 +1,4 @@
-/* Kept answers outlive a planned stop. */
+/* Tests that kept answers survive a planned stop. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -30,7 +30,7 @@
 }
 
 static bool
-whole(const struct enet *n, uint64_t request)
+is_complete(const struct enet *n, uint64_t request)
 {
     const struct enet_answer *a = enet_answer(n, request);
 
@@ -51,19 +51,19 @@
 }
 
 static bool
-lost(const struct enet *n, uint64_t request)
+is_lost(const struct enet *n, uint64_t request)
 {
     return enet_answered_with(n, request, JOB_FAILED, REASON_CLAIMER_LOST);
 }
 
-/* A job that ran at node 1, which then stopped as planned and is gone. */
+/* Runs a job at node 1, then stops the node as planned. */
 static void
 run_and_stop(struct enet *n)
 {
     uint64_t first = enet_submit(n, 1, key, 4, 11);
 
     enet_run(n, SEC);
-    CU_ASSERT_TRUE(whole(n, first));
+    CU_ASSERT_TRUE(is_complete(n, first));
     enet_stop(n, 1);
     enet_run(n, 20 * MSEC);
     CU_ASSERT_TRUE(n->nodes[1].stopped);
@@ -71,9 +71,9 @@
 }
 
 /* A caller loses its connection just before the instance stops, and submits
- * again elsewhere, at once or later, in the same zone, in another, or at the
- * instance itself when it is back.  Its job is complete and it must not hear
- * that the tasks are unknown. */
+ * the job again: at once or later, in the same or another zone, or at the same
+ * instance after its restart.  The job is complete, so the answer must be the
+ * kept one, not "unknown". */
 static void
 answers_survive_a_stop(void)
 {
@@ -92,18 +92,18 @@
     get = enet_get(n, 2, key, true);
     enet_run(n, SEC);
     for (int i = 0; i < NODES; i++) {
-        CU_ASSERT_TRUE(whole(n, again[i]));
+        CU_ASSERT_TRUE(is_complete(n, again[i]));
     }
-    CU_ASSERT_TRUE(whole(n, get));
+    CU_ASSERT_TRUE(is_complete(n, get));
     CU_ASSERT_EQUAL(enet_count_starts(n, key, ENET_ALL_TASKS), 4);
     CU_ASSERT_EQUAL(enet_count_repeated_answers(n), 0);
     enet_free(n);
 }
 
-/* An operator restarts one instance after the other.  What the second one
- * took over from the first must not go with it. */
+/* An operator restarts one instance after the other.  The second one must hand
+ * over the answers that it got from the first, too. */
 static void
-two_stops_in_a_row(void)
+consecutive_stops(void)
 {
     struct enet *n = new_net(2, PER_ZONE);
     uint64_t again[3];
@@ -124,17 +124,17 @@
     }
     enet_run(n, SEC);
     for (int i = 0; i < 3; i++) {
-        CU_ASSERT_TRUE(whole(n, again[i]));
+        CU_ASSERT_TRUE(is_complete(n, again[i]));
     }
     CU_ASSERT_EQUAL(enet_count_starts(n, key, ENET_ALL_TASKS), 4);
     enet_free(n);
 }
 
-/* Two instances are told to stop in the same moment, each the natural
- * successor of the other.  Handed to one that goes as well, the answers would
- * be lost. */
+/* Two instances stop at the same time, the second being the first choice of
+ * successor of the first.  Answers handed to an instance that stops as well
+ * would be lost. */
 static void
-two_stops_at_once(void)
+simultaneous_stops(void)
 {
     struct enet *n = new_net(1, PER_ZONE);
     uint64_t again;
@@ -149,15 +149,15 @@
     enet_kill(n, 2);
     again = enet_submit(n, 0, key, 4, 11);
     enet_run(n, SEC);
-    CU_ASSERT_TRUE(whole(n, again));
+    CU_ASSERT_TRUE(is_complete(n, again));
     CU_ASSERT_EQUAL(enet_count_starts(n, key, ENET_ALL_TASKS), 4);
     enet_free(n);
 }
 
-/* The successor dies, and with it the answers it had taken over.  Callers
- * hear that the tasks are unknown, and nothing starts again. */
+/* The successor fails, and the answers that it had taken over are lost.
+ * Callers must get the outcome "unknown", and no task may be started again. */
 static void
-successor_dies(void)
+successor_fails(void)
 {
     struct enet *n = new_net(2, PER_ZONE);
     uint64_t again[2];
@@ -172,16 +172,16 @@
     enet_run(n, SEC);
     again[1] = enet_submit(n, 2, key, 4, 11);
     enet_run(n, 3 * SEC);
-    CU_ASSERT_TRUE(lost(n, again[0]));
-    CU_ASSERT_TRUE(lost(n, again[1]));
+    CU_ASSERT_TRUE(is_lost(n, again[0]));
+    CU_ASSERT_TRUE(is_lost(n, again[1]));
     CU_ASSERT_EQUAL(enet_count_starts(n, key, ENET_ALL_TASKS), 4);
     enet_free(n);
 }
 
-/* Another job comes under the key of one that was handed over.  Its caller
- * must not get the other one's answer. */
+/* A job with another body is submitted under the key of a job that was handed
+ * over.  It must be refused, not answered with the other job's answer. */
 static void
-another_body_conflicts(void)
+other_body_conflicts(void)
 {
     struct enet *n = new_net(2, PER_ZONE);
     uint64_t other[3];
@@ -198,16 +198,15 @@
     enet_free(n);
 }
 
-/* The only instance of a region stops.  Nobody can take its answers, and it
- * does not wait for anybody. */
+/* The only instance of a region has no successor, so it must stop at once. */
 static void
-alone_it_stops_at_once(void)
+single_instance_stops_at_once(void)
 {
     struct enet *n = new_net(1, 1);
     uint64_t first = enet_submit(n, 0, key, 4, 11);
 
     enet_run(n, SEC);
-    CU_ASSERT_TRUE(whole(n, first));
+    CU_ASSERT_TRUE(is_complete(n, first));
     enet_stop(n, 0);
     CU_ASSERT_TRUE(n->nodes[0].stopped);
     enet_free(n);
@@ -222,10 +221,10 @@
     return m->kind == MSG_ANSWER_HANDOVER ? ENET_DROP : ENET_DELIVER;
 }
 
-/* The successor hears nothing of what it is sent, though its heartbeats come.
- * The stop waits for two seconds, not for ever. */
+/* The successor does not get the answers, though its heartbeats arrive.  The
+ * stop must end after the time limit of the handover, 2 s. */
 static void
-silent_successor(void)
+unresponsive_successor(void)
 {
     struct enet *n = new_net(2, PER_ZONE);
     uint64_t again;
@@ -242,14 +241,15 @@
     enet_kill(n, 1);
     again = enet_submit(n, 0, key, 4, 11);
     enet_run(n, 3 * SEC);
-    CU_ASSERT_TRUE(lost(n, again));
+    CU_ASSERT_TRUE(is_lost(n, again));
     enet_free(n);
 }
 
-/* The first batch is lost and later ones are doubled and late.  Each answer
- * is kept once, within what is left of its time. */
+/* Messages are lost, duplicated and delayed during the handover of several
+ * batches.  The successor must keep all answers, and drop them when their time
+ * has passed. */
 static void
-poor_network(void)
+lossy_network(void)
 {
     struct enet *n = new_net(2, PER_ZONE);
     char keys[600][KEY_TEXT_SIZE];
@@ -278,10 +278,11 @@
     enet_free(n);
 }
 
-/* Three instances remind each other where answers went.  Once these are gone
- * nobody speaks of it any more. */
+/* Instances send each other the successor of a stopped instance.  The record
+ * must expire together with the answers, and not be renewed in turn forever.
+ */
 static void
-moves_are_forgotten(void)
+successor_records_expire(void)
 {
     struct enet *n = new_net(2, PER_ZONE);
     struct rec_moved *moved = NULL;
@@ -303,9 +304,9 @@
     enet_free(n);
 }
 
-/* Two neighbours stop together, and the one does not know of the other yet.
- * Answers given to an instance that is about to go would be gone with it, so
- * it refuses them, and the giver looks for another. */
+/* Two instances stop at the same time, and one does not know yet that the
+ * other stops.  Answers handed to a stopping instance would be lost, so it
+ * must refuse them, and the sender chooses another successor. */
 static void
 stopping_successor_refuses(void)
 {
@@ -341,14 +342,16 @@
 suite_handover(void)
 {
     check_add("handover", "answers_survive_a_stop", answers_survive_a_stop);
-    check_add("handover", "two_stops_in_a_row", two_stops_in_a_row);
-    check_add("handover", "two_stops_at_once", two_stops_at_once);
-    check_add("handover", "successor_dies", successor_dies);
-    check_add("handover", "another_body_conflicts", another_body_conflicts);
-    check_add("handover", "alone_it_stops_at_once", alone_it_stops_at_once);
-    check_add("handover", "silent_successor", silent_successor);
-    check_add("handover", "poor_network", poor_network);
-    check_add("handover", "moves_are_forgotten", moves_are_forgotten);
+    check_add("handover", "consecutive_stops", consecutive_stops);
+    check_add("handover", "simultaneous_stops", simultaneous_stops);
+    check_add("handover", "successor_fails", successor_fails);
+    check_add("handover", "other_body_conflicts", other_body_conflicts);
+    check_add("handover", "single_instance_stops_at_once",
+              single_instance_stops_at_once);
+    check_add("handover", "unresponsive_successor", unresponsive_successor);
+    check_add("handover", "lossy_network", lossy_network);
+    check_add("handover", "successor_records_expire",
+              successor_records_expire);
     check_add("handover", "stopping_successor_refuses",
               stopping_successor_refuses);
 }
--- a/tests/health_test.c
+++ b/tests/health_test.c
@@ -1,4 +1,4 @@
-/* Quarantine, probes, and what is learned of run times. */
+/* Tests of quarantine, probes and estimates of run times. */
 #include "check.h"
 #include "estimate.h"
 #include "one_entry.h"
@@ -8,7 +8,7 @@
 enum { UPSTREAMS = 6, ROUNDS = 12 };
 
 static struct one *
-six(void)
+new_six_upstreams(void)
 {
     struct one *o =
         one_new(&(struct one_options){.deadline_us = 60 * USEC_PER_SEC});
@@ -32,8 +32,9 @@
     }
 }
 
-/** failing_round() - ends all starts, also those that follow; upstreams from
- * u0 up to below "u<failing>" fail theirs.  Returns starts on these. */
+/** failing_round() - ends all starts, including those sent meanwhile.  Tasks
+ * on the first @failing upstreams fail.  Returns the number of failed tasks.
+ */
 static size_t
 failing_round(struct one *o, int failing)
 {
@@ -58,13 +59,13 @@
     (void)one_submit(o, key, 24, RUN_US);
 }
 
-/* One upstream fails everything, at once, so it always has free slots and
- * draws more and more of the work: whole evenings of bookings come back as
- * failed though five others are well. */
+/* One upstream fails every task immediately, so it always has free slots and
+ * would get most of the tasks, though the five others work.  Quarantine must
+ * limit the number of failed tasks. */
 static void
 failing_upstream_is_quarantined(void)
 {
-    struct one *o = six();
+    struct one *o = new_six_upstreams();
     size_t bad = 0;
 
     for (int round = 0; round < ROUNDS; round++) {
@@ -76,11 +77,12 @@
     one_free(o);
 }
 
-/* After a while one task at a time finds out whether it is well again. */
+/* After the backoff a quarantined upstream gets one task as a probe; if that
+ * succeeds, the upstream must get tasks as before. */
 static void
 probe_restores_an_upstream(void)
 {
-    struct one *o = six();
+    struct one *o = new_six_upstreams();
     size_t probes = 0;
 
     for (int round = 0; round < 4; round++) {
@@ -109,13 +111,13 @@
     one_free(o);
 }
 
-/* A broken release of the service makes every upstream fail everything.  With
- * all of them in quarantine nothing would run, and nobody would find out that
- * the release was mended. */
+/* A bad release of the service makes every upstream fail all tasks.  With all
+ * of them in quarantine no task would run, and a fixed release would not be
+ * detected, so the cap must keep most of them in use. */
 static void
 service_wide_failure_is_capped(void)
 {
-    struct one *o = six();
+    struct one *o = new_six_upstreams();
 
     for (int round = 0; round < ROUNDS; round++) {
         submit_round(o, round);
@@ -128,7 +130,7 @@
 }
 
 static void
-last_upstream_stays(void)
+only_upstream_is_not_quarantined(void)
 {
     struct one *o = one_new(&(struct one_options){0});
 
@@ -141,8 +143,9 @@
     one_free(o);
 }
 
-/* Two holders quarantine at the same moment and pass the cap together.  Both
- * hear of it, and the holder of the last by name restores it. */
+/* Two holders quarantine an upstream each at the same time, and exceed the cap
+ * together.  The holder of the quarantined upstream with the greatest name
+ * must restore it. */
 static void
 cap_counts_the_whole_zone(void)
 {
@@ -175,7 +178,7 @@
     one_free(o);
 }
 
-/* Declared run times are three times too long, but steadily so. */
+/* Declared run times are too long by a constant factor of three. */
 static void
 declared_times_are_corrected(void)
 {
@@ -191,9 +194,10 @@
     CU_ASSERT(estimate_p95_us(&l, 6000) < 3000);
 }
 
-/* Declared run times say nothing: the mean does better. */
+/* Declared run times have no relation to the actual ones, so the estimate must
+ * use the mean. */
 static void
-useless_declarations_are_ignored(void)
+unrelated_declarations_are_ignored(void)
 {
     struct run_estimate l = {0};
 
@@ -213,8 +217,8 @@
     ADD(failing_upstream_is_quarantined);
     ADD(probe_restores_an_upstream);
     ADD(service_wide_failure_is_capped);
-    ADD(last_upstream_stays);
+    ADD(only_upstream_is_not_quarantined);
     ADD(cap_counts_the_whole_zone);
     ADD(declared_times_are_corrected);
-    ADD(useless_declarations_are_ignored);
+    ADD(unrelated_declarations_are_ignored);
 }
--- a/tests/member_test.c
+++ b/tests/member_test.c
@@ -1,4 +1,4 @@
-/* Membership: who is up, who votes, what heartbeats carry. */
+/* Tests of membership, claim voters and the contents of heartbeats. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -25,13 +25,13 @@
 }
 
 static const struct member *
-seen(const struct enet *n, int by, int node)
+member_as_seen_by(const struct enet *n, int by, int node)
 {
     return members_by_name(n->nodes[by].e, n->nodes[node].name);
 }
 
-/* If two instances disagreed on the voters of a zone, two claimers could each
- * get a majority of their own. */
+/* All instances must agree on the voters of a zone: otherwise two claimers
+ * could both get a majority. */
 static void
 voters_are_the_same_everywhere(void)
 {
@@ -61,31 +61,31 @@
     enet_free(n);
 }
 
-/* A process dies and its connections break: the others know within a second.
- * A machine that falls silent is down after the member timeout. */
+/* A process that dies breaks its connections and must be down within a second.
+ * A paused one, whose connections stay, is down after the member timeout. */
 static void
-death_is_noticed(void)
+failed_members_go_down(void)
 {
     struct enet *n = new_net(2, PER_ZONE);
 
     enet_kill(n, 1);
     enet_run(n, SEC);
-    CU_ASSERT_FALSE(seen(n, 0, 1)->up);
+    CU_ASSERT_FALSE(member_as_seen_by(n, 0, 1)->up);
     enet_pause(n, 2, true);
     enet_run(n, SEC);
-    CU_ASSERT_TRUE(seen(n, 0, 2)->up);
+    CU_ASSERT_TRUE(member_as_seen_by(n, 0, 2)->up);
     enet_run(n, 2 * SEC);
-    CU_ASSERT_FALSE(seen(n, 0, 2)->up);
+    CU_ASSERT_FALSE(member_as_seen_by(n, 0, 2)->up);
     enet_restart(n, 1);
     enet_run(n, 10 * MSEC);
-    CU_ASSERT_TRUE(seen(n, 0, 1)->up);
-    CU_ASSERT_EQUAL(seen(n, 0, 1)->incarnation, 2);
+    CU_ASSERT_TRUE(member_as_seen_by(n, 0, 1)->up);
+    CU_ASSERT_EQUAL(member_as_seen_by(n, 0, 1)->incarnation, 2);
     enet_free(n);
 }
 
-/* A heartbeat of an earlier incarnation arrives after its instance restarted.
- * Were it believed, the instance would be taken for restarted again and every
- * wait at it answered as lost. */
+/* A heartbeat of an earlier incarnation arrives after its sender restarted. If
+ * it were accepted, the sender would count as restarted again, and every wait
+ * at it would be answered as lost. */
 static void
 earlier_incarnations_are_ignored(void)
 {
@@ -99,16 +99,16 @@
     late.u.heartbeat.incarnation = 1;
     late.u.heartbeat.stopping = 1;
     enet_inject(n, n->nodes[1].name, 0, &late);
-    CU_ASSERT_EQUAL(seen(n, 0, 1)->incarnation, 2);
-    CU_ASSERT_FALSE(seen(n, 0, 1)->stopping);
+    CU_ASSERT_EQUAL(member_as_seen_by(n, 0, 1)->incarnation, 2);
+    CU_ASSERT_FALSE(member_as_seen_by(n, 0, 1)->stopping);
     CU_ASSERT_EQUAL(entry_counters(n->nodes[0].e).messages_bad, bad + 1);
     enet_free(n);
 }
 
-/* A process wakes from a pause of a minute.  Nobody was heard during it; were
- * all taken for dead, it would grab every upstream of its zone. */
+/* A process resumes after a pause of 60 s without heartbeats.  If it counted
+ * all members as down, it would take over every upstream of its zone. */
 static void
-waking_does_not_bury_the_others(void)
+members_stay_up_after_pause(void)
 {
     struct enet *n = new_net(2, PER_ZONE);
 
@@ -117,19 +117,19 @@
     enet_pause(n, 1, false);
     enet_run(n, 10 * MSEC);
     for (int i = 0; i < n->n_nodes; i++) {
-        CU_ASSERT_TRUE(seen(n, 1, i)->up);
+        CU_ASSERT_TRUE(member_as_seen_by(n, 1, i)->up);
     }
     enet_kill(n, 4);
     enet_run(n, 3 * SEC);
-    CU_ASSERT_FALSE(seen(n, 1, 4)->up);
-    CU_ASSERT_TRUE(seen(n, 1, 5)->up);
+    CU_ASSERT_FALSE(member_as_seen_by(n, 1, 4)->up);
+    CU_ASSERT_TRUE(member_as_seen_by(n, 1, 5)->up);
     enet_free(n);
 }
 
-/* Counts the heartbeats of node 0 with loads, near and far. */
-static int near_loads;
-static int far_loads;
-static int far_beats;
+/* Counts heartbeats of node 0 within its zone and to the other zone. */
+static int local_loads;
+static int remote_loads;
+static int remote_heartbeats;
 
 static enum enet_delivery
 count_loads(struct enet *n, int from, int to, const struct msg *m)
@@ -137,9 +137,9 @@
     bool loads = m->kind == MSG_HEARTBEAT && m->u.heartbeat.has_loads != 0;
 
     if (from == 0 && m->kind == MSG_HEARTBEAT) {
-        near_loads += loads && to == 1 ? 1 : 0;
-        far_loads += loads && to == PER_ZONE ? 1 : 0;
-        far_beats += to == PER_ZONE ? 1 : 0;
+        local_loads += loads && to == 1 ? 1 : 0;
+        remote_loads += loads && to == PER_ZONE ? 1 : 0;
+        remote_heartbeats += to == PER_ZONE ? 1 : 0;
     }
     (void)n;
     return ENET_DELIVER;
@@ -166,22 +166,22 @@
 }
 
 static void
-far_loads_are_rarer_with_many_services(void)
+remote_loads_are_rarer_with_many_services(void)
 {
     struct enet *n = new_net(2, PER_ZONE);
 
     n->opts.filter = count_loads;
-    near_loads = far_loads = far_beats = 0;
+    local_loads = remote_loads = remote_heartbeats = 0;
     enet_run(n, 8 * SEC);
-    CU_ASSERT_EQUAL(far_beats, 16);
-    CU_ASSERT_EQUAL(far_loads, 16);
+    CU_ASSERT_EQUAL(remote_heartbeats, 16);
+    CU_ASSERT_EQUAL(remote_loads, 16);
     announce_services(n);
-    near_loads = far_loads = far_beats = 0;
+    local_loads = remote_loads = remote_heartbeats = 0;
     enet_run(n, 4 * SEC);
-    CU_ASSERT_EQUAL(near_loads, 8);
-    CU_ASSERT_EQUAL(far_beats, 8);
-    CU_ASSERT_TRUE(far_loads >= 1 && far_loads <= 6);
-    CU_ASSERT_TRUE(seen(n, PER_ZONE, 0)->n_loads >= 1);
+    CU_ASSERT_EQUAL(local_loads, 8);
+    CU_ASSERT_EQUAL(remote_heartbeats, 8);
+    CU_ASSERT_TRUE(remote_loads >= 1 && remote_loads <= 6);
+    CU_ASSERT_TRUE(member_as_seen_by(n, PER_ZONE, 0)->n_loads >= 1);
     enet_free(n);
 }
 
@@ -190,11 +190,11 @@
 {
     check_add("member", "voters_are_the_same_everywhere",
               voters_are_the_same_everywhere);
-    check_add("member", "death_is_noticed", death_is_noticed);
+    check_add("member", "failed_members_go_down", failed_members_go_down);
     check_add("member", "earlier_incarnations_are_ignored",
               earlier_incarnations_are_ignored);
-    check_add("member", "waking_does_not_bury_the_others",
-              waking_does_not_bury_the_others);
-    check_add("member", "far_loads_are_rarer_with_many_services",
-              far_loads_are_rarer_with_many_services);
+    check_add("member", "members_stay_up_after_pause",
+              members_stay_up_after_pause);
+    check_add("member", "remote_loads_are_rarer_with_many_services",
+              remote_loads_are_rarer_with_many_services);
 }
--- a/tests/quota_test.c
+++ b/tests/quota_test.c
@@ -1,4 +1,4 @@
-/* Limits of teams across instances, and their shares of the queue. */
+/* Tests of team limits across instances and of shares of the queue. */
 #include <stdlib.h>
 
 #include "check.h"
@@ -6,10 +6,10 @@
 
 #define RUN_US (100 * USEC_PER_MSEC)
 
-/** limited() - an instance with room for 24 tasks, one other instance in
- * another zone, and a limit of 8 running tasks in the region */
+/** new_limited() - an instance with 24 slots, one other instance in another
+ * zone, and a limit of 8 running tasks in the region */
 static struct one *
-limited(void)
+new_limited(void)
 {
     struct one *o = one_new(&(struct one_options){
         .peers = 1, .peers_in_other_zone = true, .slots_max_running = 8});
@@ -23,31 +23,32 @@
 }
 
 static size_t
-running(const struct one *o)
+tasks_running_here(const struct one *o)
 {
     return entry_gauges(o->e).tasks_running;
 }
 
-/* One instance has all of the team's load: it may use the whole limit. */
+/* An instance that has all of the team's load may use the whole limit. */
 static void
 share_follows_the_load(void)
 {
-    struct one *o = limited();
+    struct one *o = new_limited();
 
     (void)one_submit(o, "a", 20, RUN_US);
     for (int i = 0; i < 4; i++) {
         one_heartbeat_with_load(o, "p0", 0, 0);
         one_run(o, USEC_PER_SEC / 4);
     }
-    CU_ASSERT_EQUAL(running(o), 8);
+    CU_ASSERT_EQUAL(tasks_running_here(o), 8);
     one_free(o);
 }
 
-/* Both have more than enough: together they keep to the limit. */
+/* If both instances have more load than the limit, each must keep to its half.
+ */
 static void
 shares_add_up_to_the_limit(void)
 {
-    struct one *o = limited();
+    struct one *o = new_limited();
 
     for (int i = 0; i < 4; i++) {
         one_heartbeat_with_load(o, "p0", 4, 16);
@@ -55,28 +56,28 @@
     }
     (void)one_submit(o, "a", 20, RUN_US);
     one_run(o, USEC_PER_SEC / 2);
-    CU_ASSERT_EQUAL(running(o), 4);
+    CU_ASSERT_EQUAL(tasks_running_here(o), 4);
     one_free(o);
 }
 
-/* The zones lose each other.  If each side took the whole limit for itself, a
- * team would run twice what it is allowed for as long as the cut lasts. */
+/* A network partition separates the zones.  If each zone used the whole limit,
+ * a team would exceed it twofold while the partition lasts. */
 static void
-cut_keeps_the_other_zones_part(void)
+partition_keeps_the_other_zones_part(void)
 {
-    struct one *o = limited();
+    struct one *o = new_limited();
 
-    one_run(o, 3 * USEC_PER_SEC); /* p0 has not been heard of */
+    one_run(o, 3 * USEC_PER_SEC); /* no heartbeat of p0 */
     (void)one_submit(o, "a", 20, RUN_US);
     one_run(o, USEC_PER_SEC);
-    CU_ASSERT_EQUAL(running(o), 4);
+    CU_ASSERT_EQUAL(tasks_running_here(o), 4);
     one_free(o);
 }
 
-/* One team submits without end.  Another team's upstreams are idle, but its
- * jobs have to pass the same queue: there must be room for them. */
+/* One team fills the queue with its jobs.  Another team, whose upstreams are
+ * idle, uses the same queue, so part of it must be reserved for that team. */
 static void
-queue_keeps_room_for_other_teams(void)
+queue_keeps_capacity_for_other_teams(void)
 {
     struct one *o = one_new(&(struct one_options){.queue_max = 40});
     struct rec_upstream_info info = one_upstream_info("t0");
@@ -96,9 +97,9 @@
     one_free(o);
 }
 
-/* All upstreams of the zone are gone, and this instance has never borrowed
- * yet. Jobs that other zones can run in time must be let in by what heartbeats
- * tell, and not be refused as if there were one slot in the world. */
+/* The zone has no upstream, and this instance has not borrowed slots yet. Jobs
+ * that other zones can run in time must be admitted by the free slots that
+ * heartbeats report, and not be refused as if there were a single slot. */
 static void
 other_zones_slots_count_at_admission(void)
 {
@@ -131,7 +132,7 @@
 {
     ADD(share_follows_the_load);
     ADD(shares_add_up_to_the_limit);
-    ADD(cut_keeps_the_other_zones_part);
+    ADD(partition_keeps_the_other_zones_part);
     ADD(other_zones_slots_count_at_admission);
-    ADD(queue_keeps_room_for_other_teams);
+    ADD(queue_keeps_capacity_for_other_teams);
 }
--- a/tests/upstream_test.c
+++ b/tests/upstream_test.c
@@ -1,4 +1,4 @@
-/* Announcements, holders, fences, and slots lent between instances. */
+/* Tests of announcements, holders, fences and slots lent between instances. */
 #include <stdio.h>
 
 #include "check.h"
@@ -8,7 +8,7 @@
 #define RUN_US (100 * USEC_PER_MSEC)
 
 static const struct effect *
-last_announced(struct one *o, struct rec_upstream_info info)
+announce_problem(struct one *o, struct rec_upstream_info info)
 {
     one_clear(o);
     one_announce(o, info);
@@ -32,7 +32,7 @@
     bad[5].service = name_of("");
     bad[6].incarnation = 0;
     for (int i = 0; i < 7; i++) {
-        const struct effect *f = last_announced(o, bad[i]);
+        const struct effect *f = announce_problem(o, bad[i]);
 
         CU_ASSERT(f != NULL && f->u.problem.problem == PROBLEM_BAD_ANNOUNCE &&
                   f->u.problem.detail[0] != '\0');
@@ -41,11 +41,11 @@
     one_free(o);
 }
 
-/* An announcement of a process that is dead by now arrives late, over a slow
- * connection.  If it replaced the record of the new one, starts would go out
- * with an incarnation that the upstream refuses. */
+/* An announcement of an earlier incarnation arrives late.  If it replaced the
+ * record of the new incarnation, starts would carry an incarnation that the
+ * upstream refuses. */
 static void
-late_announcement_of_an_earlier_life(void)
+late_announcement_of_earlier_incarnation(void)
 {
     struct one *o = one_new(&(struct one_options){0});
     struct rec_upstream_info info = one_upstream_info("u");
@@ -54,7 +54,7 @@
     info.incarnation = 5;
     one_announce(o, info);
     info.incarnation = 4;
-    f = last_announced(o, info);
+    f = announce_problem(o, info);
     CU_ASSERT(f != NULL && f->u.problem.problem == PROBLEM_STALE_LIFE);
     (void)one_submit(o, "a", 1, RUN_US);
     CU_ASSERT_EQUAL(one_effect(o, EF_START, 0)->u.start.incarnation, 5);
@@ -62,7 +62,7 @@
 }
 
 static void
-silent_upstream_expires(void)
+upstream_without_renewal_expires(void)
 {
     struct one *o = one_new(&(struct one_options){0});
 
@@ -75,7 +75,7 @@
 }
 
 static void
-leaving_gets_no_new_work(void)
+leaving_upstream_gets_no_new_tasks(void)
 {
     struct one *o = one_new(&(struct one_options){0});
     struct event ev = {.kind = EV_LEAVE};
@@ -94,9 +94,9 @@
     one_free(o);
 }
 
-/* An operator drains an upstream whose process knows nothing of it and goes on
- * announcing itself.  Neither may it come back into use by that, nor may each
- * renewal be passed to the whole zone as news. */
+/* An operator drains an upstream, whose process goes on announcing itself as
+ * not leaving.  The renewals must neither undo the drain nor be sent to the
+ * whole zone as changes. */
 static void
 drained_upstream_stays_drained(void)
 {
@@ -115,10 +115,10 @@
     one_free(o);
 }
 
-/* Two instances believe they hold one upstream, because one of them was cut
- * off.  News with a higher epoch ends the older hold, and the start that was
- * under way under it comes back refused: it goes out again under the new
- * hold, and so is started once. */
+/* Two instances consider themselves holder of an upstream after a network
+ * partition.  A report of a higher epoch ends the older hold.  The start in
+ * flight under the older epoch is refused, and sent again under the new hold,
+ * so that the task is started once. */
 static void
 higher_epoch_ends_a_hold(void)
 {
@@ -150,10 +150,11 @@
     one_free(o);
 }
 
-/* The upstream has met a higher epoch than this instance ever heard of.  Its
- * answer tells which, and the next fence goes above it, after a pause. */
+/* The upstream has seen a higher epoch than this instance.  Its reply carries
+ * that epoch, and the next fence, sent after a pause, must use a higher one.
+ */
 static void
-stale_fence_learns_the_epoch(void)
+stale_fence_is_retried_with_higher_epoch(void)
 {
     struct one *o = one_new(&(struct one_options){0});
     struct event ev = {.kind = EV_FENCED};
@@ -172,10 +173,10 @@
     one_free(o);
 }
 
-/* The process slept for a minute, and others have taken its upstreams over.
- * Its first act may not be a start under the old epoch. */
+/* After a pause of the process, others have taken over its upstreams.  The
+ * process must release them before it starts any task under the old epoch. */
 static void
-paused_holder_lets_go_first(void)
+paused_holder_releases_upstreams(void)
 {
     struct one *o = one_new(&(struct one_options){0});
 
@@ -189,10 +190,11 @@
     one_free(o);
 }
 
-/* After a take-over the upstream still runs what the former holder started.
- * Until it reports less, its slots may not be counted as free. */
+/* After a takeover the upstream still runs tasks that the former holder
+ * started.  Their slots must not count as free until the upstream reports
+ * fewer running tasks. */
 static void
-foreign_tasks_take_slots(void)
+foreign_tasks_occupy_slots(void)
 {
     struct one *o = one_new(&(struct one_options){0});
     struct rec_upstream_info info = one_upstream_info("u");
@@ -201,16 +203,17 @@
     one_announce(o, info);
     (void)one_submit(o, "a", 8, RUN_US);
     CU_ASSERT_EQUAL(one_count_effects(o, EF_START), 1);
-    info.busy = 2; /* our own and one foreign */
+    info.busy = 2; /* one of this instance and one foreign */
     one_announce(o, info);
     CU_ASSERT_EQUAL(one_count_effects(o, EF_START), 3);
     one_free(o);
 }
 
 /* An instance that restarted knows no upstream, and would refuse every job
- * until each had announced itself to it again. */
+ * until the upstreams announce themselves again, if its peers did not send it
+ * their records. */
 static void
-restarted_peer_is_told(void)
+restarted_peer_gets_upstreams(void)
 {
     struct one *o = one_new(&(struct one_options){.peers = 1});
 
@@ -225,7 +228,7 @@
 }
 
 static void
-stop_hands_upstreams_over(void)
+stop_releases_upstreams(void)
 {
     struct one *o = one_new(&(struct one_options){.peers = 1});
     struct event ev = {.kind = EV_STOP};
@@ -247,7 +250,7 @@
 /* Lending */
 
 static struct one *
-lender(void)
+new_lender(void)
 {
     struct one *o = one_new(&(struct one_options){.peers = 1});
 
@@ -261,7 +264,7 @@
 }
 
 static void
-ask_for_slots(struct one *o, uint64_t count)
+request_slots(struct one *o, uint64_t count)
 {
     struct msg m = {.kind = MSG_SLOT_REQUEST};
 
@@ -274,7 +277,7 @@
 }
 
 static uint64_t
-granted(const struct one *o)
+granted_slots(const struct one *o)
 {
     const struct msg *m;
     uint64_t n = 0;
@@ -289,7 +292,7 @@
 }
 
 static void
-give_back(struct one *o, uint64_t grant, uint64_t slots, uint64_t failed)
+return_slots(struct one *o, uint64_t grant, uint64_t slots, uint64_t failed)
 {
     struct msg m = {.kind = MSG_SLOT_RETURN};
     struct rec_slot_return *r = &m.u.slot_return;
@@ -306,32 +309,32 @@
 static void
 lent_slots_are_used_until_returned(void)
 {
-    struct one *o = lender();
+    struct one *o = new_lender();
     uint64_t grant;
 
-    ask_for_slots(o, 2);
-    CU_ASSERT_EQUAL(granted(o), 2);
+    request_slots(o, 2);
+    CU_ASSERT_EQUAL(granted_slots(o), 2);
     grant =
         one_message_sent(o, MSG_SLOT_GRANT, 0)->u.slot_grant.grants[0].grant;
     (void)one_submit(o, "a", 8, RUN_US);
     CU_ASSERT_EQUAL(one_count_effects(o, EF_START), 2);
-    give_back(o, grant, 1, 0);
+    return_slots(o, grant, 1, 0);
     CU_ASSERT_EQUAL(one_count_effects(o, EF_START), 3);
-    give_back(o, grant, 7, 0); /* more than it had */
+    return_slots(o, grant, 7, 0); /* more than were lent */
     CU_ASSERT(one_count_effects(o, EF_START) <= 4);
     one_free(o);
 }
 
-/* The borrower dies with tasks running on what it borrowed, or its return was
- * lost with a connection.  Its slots must neither be given out while the tasks
- * run, nor stay lost. */
+/* A borrower fails while tasks run on borrowed slots, or its return is lost.
+ * The slots must not be used while those tasks run, and must become free again
+ * afterwards. */
 static void
-dead_borrowers_slots_come_back(void)
+slots_of_failed_borrower_become_free(void)
 {
-    struct one *o = lender();
+    struct one *o = new_lender();
     struct rec_upstream_info info;
 
-    ask_for_slots(o, 4);
+    request_slots(o, 4);
     info = one_upstream_info(one_message_sent(o, MSG_SLOT_GRANT, 0)
                                  ->u.slot_grant.grants[0]
                                  .upstream.s);
@@ -343,26 +346,26 @@
     info.busy = 3;
     one_announce(o, info);
     CU_ASSERT_EQUAL(one_count_effects(o, EF_START), 1);
-    info.busy = 1; /* our own */
+    info.busy = 1; /* started by this instance */
     one_announce(o, info);
     CU_ASSERT_EQUAL(one_count_effects(o, EF_START), 4);
     one_free(o);
 }
 
-/* A request that came in vain is met when slots come free, unless the asker
- * has withdrawn it. */
+/* A request that finds no free slots is queued, and granted when slots become
+ * free. */
 static void
-waiting_request_is_met_later(void)
+queued_request_is_granted_later(void)
 {
-    struct one *o = lender();
+    struct one *o = new_lender();
 
     (void)one_submit(o, "a", 4, RUN_US);
     CU_ASSERT_EQUAL(one_count_effects(o, EF_START), 4);
-    ask_for_slots(o, 3);
-    CU_ASSERT_EQUAL(granted(o), 0);
+    request_slots(o, 3);
+    CU_ASSERT_EQUAL(granted_slots(o), 0);
     (void)one_end_all_starts(o, START_DONE, true);
     one_run(o, 100 * USEC_PER_MSEC);
-    CU_ASSERT_EQUAL(granted(o), 3);
+    CU_ASSERT_EQUAL(granted_slots(o), 3);
     one_free(o);
 }
 
@@ -392,7 +395,7 @@
 static void
 borrowed_slots_are_used_and_returned(void)
 {
-    struct one *o = lender();
+    struct one *o = new_lender();
     uint64_t returned = 0;
 
     (void)one_submit(o, "a", 20, RUN_US);
@@ -420,12 +423,12 @@
     one_free(o);
 }
 
-/* The holder is short itself: what lies idle at a borrower must come back when
- * it asks, not at the end of the lease. */
+/* When the holder needs its slots itself and recalls them, the borrower must
+ * return idle ones at once, not when the lease ends. */
 static void
-recalled_slots_return_at_once(void)
+recalled_slots_are_returned_at_once(void)
 {
-    struct one *o = lender();
+    struct one *o = new_lender();
     struct msg m = {.kind = MSG_SLOT_RECALL};
 
     receive_grant(o, 3);
@@ -439,13 +442,13 @@
     one_free(o);
 }
 
-/* The lender died or lost the upstream: starts under its epoch are refused.
- * They are proved not to have started, so they go elsewhere, and the grant is
- * used no more. */
+/* The lender failed or lost the upstream, so starts under its epoch are
+ * refused as stale.  They certainly did not run, so the tasks are started
+ * elsewhere, and the grant must not be used any more. */
 static void
 stale_grant_is_dropped(void)
 {
-    struct one *o = lender();
+    struct one *o = new_lender();
     size_t starts;
 
     receive_grant(o, 2);
@@ -477,11 +480,11 @@
     return info;
 }
 
-/* An upstream with a faulty start script announces another service each time
- * it restarts, say one with the process id in its name.  Each left a record
- * behind, and after weeks the instance was out of memory. */
+/* A misconfigured upstream announces another service each time it restarts,
+ * for instance one named after its process id.  If the records of unused
+ * services were kept, the instance would run out of memory. */
 static void
-services_nobody_offers_are_forgotten(void)
+unused_services_are_removed(void)
 {
     struct one *o = one_new(&(struct one_options){0});
 
@@ -498,9 +501,9 @@
     one_free(o);
 }
 
-/* The same while a task of a service runs on: its upstream is gone and
- * control has removed it, but the end of the task is still to be counted.
- * The record would be read after it was freed. */
+/* A service has no upstream and no configuration any more, but one of its
+ * tasks still runs.  If the record were freed before the task ends, counting
+ * its end would read freed memory. */
 static void
 service_with_a_running_task_is_kept(void)
 {
@@ -534,10 +537,9 @@
     one_free(o);
 }
 
-/* A hostile process announces one upstream after another, each with a service
- * of its own, and keeps them all alive.  The instance grew until it was killed
- * for memory, with all its jobs.  Services that control knows are not held up
- * by it. */
+/* A hostile process announces many upstreams, each with a service of its own,
+ * and renews them all.  Without a bound the instance would run out of memory
+ * and lose its jobs.  Services with a configuration must not be affected. */
 static void
 unknown_services_are_bounded(void)
 {
@@ -554,8 +556,8 @@
     CU_ASSERT(f != NULL && f->u.problem.problem == PROBLEM_OVERLOADED &&
               f->u.problem.retry_after_us > 0);
     CU_ASSERT(o->e->dispatch->n_services <= UNCONFIGURED_SERVICES_MAX + 2);
-    CU_ASSERT(last_announced(o, upstream_of_service("v", 0)) == NULL);
-    CU_ASSERT(last_announced(o, one_upstream_info("w")) == NULL);
+    CU_ASSERT(announce_problem(o, upstream_of_service("v", 0)) == NULL);
+    CU_ASSERT(announce_problem(o, one_upstream_info("w")) == NULL);
     one_free(o);
 }
 
@@ -565,23 +567,23 @@
 suite_upstream(void)
 {
     ADD(bad_announcements_are_refused);
-    ADD(late_announcement_of_an_earlier_life);
-    ADD(silent_upstream_expires);
-    ADD(leaving_gets_no_new_work);
+    ADD(late_announcement_of_earlier_incarnation);
+    ADD(upstream_without_renewal_expires);
+    ADD(leaving_upstream_gets_no_new_tasks);
     ADD(drained_upstream_stays_drained);
     ADD(higher_epoch_ends_a_hold);
-    ADD(stale_fence_learns_the_epoch);
-    ADD(paused_holder_lets_go_first);
-    ADD(foreign_tasks_take_slots);
-    ADD(restarted_peer_is_told);
-    ADD(stop_hands_upstreams_over);
+    ADD(stale_fence_is_retried_with_higher_epoch);
+    ADD(paused_holder_releases_upstreams);
+    ADD(foreign_tasks_occupy_slots);
+    ADD(restarted_peer_gets_upstreams);
+    ADD(stop_releases_upstreams);
     ADD(lent_slots_are_used_until_returned);
-    ADD(dead_borrowers_slots_come_back);
-    ADD(waiting_request_is_met_later);
+    ADD(slots_of_failed_borrower_become_free);
+    ADD(queued_request_is_granted_later);
     ADD(borrowed_slots_are_used_and_returned);
-    ADD(recalled_slots_return_at_once);
+    ADD(recalled_slots_are_returned_at_once);
     ADD(stale_grant_is_dropped);
-    ADD(services_nobody_offers_are_forgotten);
+    ADD(unused_services_are_removed);
     ADD(service_with_a_running_task_is_kept);
     ADD(unknown_services_are_bounded);
 }
