--- a/src/borrow.c
+++ b/src/borrow.c
@@ -19,7 +19,7 @@
 #define RANK_MARGIN_US (100 * USEC_PER_MSEC)
 
 enum {
-    SPARE_FACTOR = 3, /* factor for pauses with opts.spare_messages */
+    PAUSE_FACTOR = 3, /* factor for pauses with opts.fewer_messages */
     SAMPLES_MIN = 10, /* run times needed for an estimate */
 };
 
@@ -270,7 +270,7 @@
 static int64_t
 scaled_pause(const struct entry *e, int64_t us)
 {
-    return e->opts.fewer_messages ? us * SPARE_FACTOR : us;
+    return e->opts.fewer_messages ? us * PAUSE_FACTOR : us;
 }
 
 /** borrow_withdraw() - withdraws the requests queued at holders; otherwise
--- a/src/handover.h
+++ b/src/handover.h
@@ -18,9 +18,9 @@
 struct handover *handover_new(void);
 void handover_free(struct handover *h);
 
-/** handover_advance() - starts or continues the handover; returns true when it
- * is over.  Called in every step of a stopping instance whose jobs have ended.
- */
+/** handover_advance() - starts or continues the handover; returns whether it
+ * is over.  Called in each step of a stopping instance after its jobs have
+ * ended. */
 bool handover_advance(struct entry *e);
 
 /** handover_on_message() - handles ANSWER_HANDOVER and ANSWER_TAKEN */
--- a/src/lend.c
+++ b/src/lend.c
@@ -15,7 +15,7 @@
 #define BORROWER_INTERVAL_US (400 * USEC_PER_MSEC) /* to the same borrower */
 #define DEFAULT_RUN_US (300 * USEC_PER_MSEC)       /* without an estimate */
 
-enum { SPARE_FACTOR = 3 }; /* factor for pauses with opts.spare_messages */
+enum { PAUSE_FACTOR = 3 }; /* factor for pauses with opts.fewer_messages */
 
 /** struct slot_loan - a grant of slots on one upstream to another instance */
 struct slot_loan {
@@ -70,7 +70,7 @@
 static int64_t
 scaled_pause(const struct entry *e, int64_t us)
 {
-    return e->opts.fewer_messages ? us * SPARE_FACTOR : us;
+    return e->opts.fewer_messages ? us * PAUSE_FACTOR : us;
 }
 
 /** candidate_of() - finds or adds the record of a borrower */
--- a/src/member.h
+++ b/src/member.h
@@ -71,8 +71,7 @@
 void members_on_heartbeat(struct entry *e, struct name from,
                           const struct rec_heartbeat *hb);
 
-/** members_on_connection() - the connection to a member came up or went down
- */
+/** members_on_connection() - a connection to a member came up or broke */
 void members_on_connection(struct entry *e, struct name peer, bool up);
 
 /** members_tick() - times out members, sends heartbeats that are due */
--- a/src/quota.h
+++ b/src/quota.h
@@ -26,8 +26,7 @@
  * in them */
 void quotas_attach(struct entry *e, struct service_state *s);
 
-/** quotas_allow_start() - whether one more task of the service may start now
- */
+/** quotas_allow_start() - whether a task of the service may start now */
 bool quotas_allow_start(struct entry *e, struct service_state *s);
 
 /** quotas_task_started() - counts a task of the service that was started */
--- a/src/slot.h
+++ b/src/slot.h
@@ -20,8 +20,7 @@
 struct slots *slots_new(const struct entry *e);
 void slots_free(struct slots *sl);
 
-/** slots_get_place() - the place a handle refers to, or NULL if it was removed
- */
+/** slots_get_place() - the place of a handle, or NULL if it was removed */
 struct place *slots_get_place(const struct entry *e, struct handle h);
 
 /** slots_add_own() - adds the place for an upstream that this instance may
@@ -39,8 +38,7 @@
 void slots_close_place(struct entry *e, struct place *p);
 
 /** slots_on_epoch_raised() - the upstream's epoch rose: voids grants that this
- * instance borrowed under lower epochs, and what it lent if it lost the hold
- */
+ * instance borrowed under lower epochs, and its loans if it lost the hold */
 void slots_on_epoch_raised(struct entry *e, struct upstream *u);
 
 /** slots_on_upstream_removed() - closes the places of an upstream whose record
--- a/src/successor.h
+++ b/src/successor.h
@@ -26,8 +26,7 @@
                        uint64_t *incarnation);
 
 /** successors_list() - allocates the records to send now in *@out, which the
- * caller frees; returns their number.  If 0, *@out may be unchanged.
- */
+ * caller frees; returns their number.  *@out may be unchanged if 0. */
 size_t successors_list(const struct entry *e, struct rec_moved **out);
 
 /** successors_send() - sends the records to @to along with a heartbeat, if
--- a/src/upstream.h
+++ b/src/upstream.h
@@ -62,8 +62,8 @@
  * and picks holders again */
 void upstreams_on_members_changed(struct entry *e);
 
-/** upstreams_service_free_slots() - free slots of a service on held upstreams
- */
+/** upstreams_service_free_slots() - free slots for a service on held
+ * upstreams */
 uint32_t upstreams_service_free_slots(const struct entry *e,
                                       struct name service);
 
--- a/tests/entry_net.h
+++ b/tests/entry_net.h
@@ -140,8 +140,8 @@
 uint64_t enet_submit_spec(struct enet *n, int node, const char *key,
                           struct job_spec *spec, bool respond_async);
 
-/** enet_get(), enet_explain(), enet_dump(), enet_cancel() - return the request
- */
+/** enet_get(), enet_explain(), enet_dump(), enet_cancel() - return their
+ * request */
 uint64_t enet_get(struct enet *n, int node, const char *key, bool wait);
 uint64_t enet_explain(struct enet *n, int node, const char *key);
 uint64_t enet_dump(struct enet *n, int node);
@@ -173,8 +173,8 @@
 bool enet_refused_with(const struct enet *n, uint64_t request,
                        enum problem problem);
 
-/** enet_answered_with() - whether it was answered with that status and reason
- */
+/** enet_answered_with() - whether a request was answered with that status
+ * and reason */
 bool enet_answered_with(const struct enet *n, uint64_t request,
                         enum job_status status, enum reason reason);
 
@@ -189,8 +189,7 @@
  * that did not restart since */
 int enet_count_unanswered(const struct enet *n);
 
-/** enet_count_repeated_answers() - number of requests answered more than once
- */
+/** enet_count_repeated_answers() - requests answered more than once */
 int enet_count_repeated_answers(const struct enet *n);
 
 #endif
--- a/tests/handover_test.c
+++ b/tests/handover_test.c
@@ -279,8 +279,7 @@
 }
 
 /* Instances send each other the successor of a stopped instance.  The record
- * must expire together with the answers, and not be renewed in turn forever.
- */
+ * must expire together with the answers, and not be renewed forever. */
 static void
 successor_records_expire(void)
 {
--- a/tests/health_test.c
+++ b/tests/health_test.c
@@ -33,8 +33,7 @@
 }
 
 /** failing_round() - ends all starts, including those sent meanwhile.  Tasks
- * on the first @failing upstreams fail.  Returns the number of failed tasks.
- */
+ * on the first @failing upstreams fail.  Returns the number that failed. */
 static size_t
 failing_round(struct one *o, int failing)
 {
--- a/tests/member_test.c
+++ b/tests/member_test.c
@@ -83,9 +83,9 @@
     enet_free(n);
 }
 
-/* A heartbeat of an earlier incarnation arrives after its sender restarted. If
- * it were accepted, the sender would count as restarted again, and every wait
- * at it would be answered as lost. */
+/* A heartbeat of an earlier incarnation arrives after its sender has
+ * restarted.  If it were accepted, the sender would count as restarted again,
+ * and every wait at it would be answered as lost. */
 static void
 earlier_incarnations_are_ignored(void)
 {
--- a/tests/quota_test.c
+++ b/tests/quota_test.c
@@ -43,8 +43,7 @@
     one_free(o);
 }
 
-/* If both instances have more load than the limit, each must keep to its half.
- */
+/* If both instances have more load than the limit, each must keep to half. */
 static void
 shares_add_up_to_the_limit(void)
 {
@@ -97,9 +96,10 @@
     one_free(o);
 }
 
-/* The zone has no upstream, and this instance has not borrowed slots yet. Jobs
- * that other zones can run in time must be admitted by the free slots that
- * heartbeats report, and not be refused as if there were a single slot. */
+/* The zone has no upstream, and this instance has not borrowed slots so far.
+ * Jobs that other zones can run in time must be admitted by the free slots
+ * that heartbeats report, and not be refused as if there were a single slot.
+ */
 static void
 other_zones_slots_count_at_admission(void)
 {
--- a/tests/upstream_test.c
+++ b/tests/upstream_test.c
@@ -151,8 +151,7 @@
 }
 
 /* The upstream has seen a higher epoch than this instance.  Its reply carries
- * that epoch, and the next fence, sent after a pause, must use a higher one.
- */
+ * that epoch, and the next fence, after a pause, must use a higher one. */
 static void
 stale_fence_is_retried_with_higher_epoch(void)
 {
