--- a/src/apply.c
+++ b/src/apply.c
@@ -29,13 +29,13 @@
               const struct rec_publish *p)
 {
     struct fsm_outcome o;
-    struct rec_publish anew = *p;
+    struct rec_publish publish = *p;
 
     if (c->opts.breaks[CONTROL_BREAK_FORGET_REQUESTS]) {
-        anew.request_id.lo ^= e->index;
-        anew.base_version = c->fsm.version;
+        publish.request_id.lo ^= e->index;
+        publish.base_version = c->fsm.version;
     }
-    o = fsm_publish(&c->fsm, e->index, e->term, &anew);
+    o = fsm_publish(&c->fsm, e->index, e->term, &publish);
     if (o.result == CONTROL_OK && !o.resend) {
         c->counters.published++;
         control_log(c, LOG_NOTICE, CONTROL_REASON_PUBLISHED, p->publisher,
@@ -57,16 +57,16 @@
 {
     struct fsm_outcome o = {.result = CONTROL_OK};
     struct msg m = {0};
-    bool sound = e->data != NULL &&
+    bool valid = e->data != NULL &&
                  wire_decode(e->data->data, e->data->size, &m) == WIRE_OK;
 
     if (e->kind == LOG_KIND_NOOP) {
         return;
     }
-    if (sound && e->kind == LOG_KIND_PUBLISH && m.kind == MSG_PUBLISH) {
+    if (valid && e->kind == LOG_KIND_PUBLISH && m.kind == MSG_PUBLISH) {
         apply_publish(c, e, &m.u.publish);
     }
-    else if (sound && e->kind == LOG_KIND_MEMBERS &&
+    else if (valid && e->kind == LOG_KIND_MEMBERS &&
              m.kind == MSG_MEMBERSHIP) {
         fsm_set_members(&c->fsm, &m.u.membership);
         control_log(c, LOG_NOTICE, CONTROL_REASON_MEMBERS, c->opts.self,
@@ -81,7 +81,7 @@
 }
 
 static void
-make_snapshot(struct control *c)
+make_snapshot_if_due(struct control *c)
 {
     bool due =
         c->applied_index - c->snapshot_index >= c->opts.snapshot_entries ||
@@ -116,7 +116,7 @@
         c->opts.breaks[CONTROL_BREAK_SERVE_AFTER_RESTART]) {
         c->serving = true;
     }
-    make_snapshot(c);
+    make_snapshot_if_due(c);
 }
 
 void
--- a/src/config_sync.c
+++ b/src/config_sync.c
@@ -8,23 +8,24 @@
 #include "servicefile.h"
 #include "textpack.h"
 
-enum { CONTROLS_MAX = 64 }; /* told apart when counting replies */
+enum { CONTROLS_COUNTED_MAX = 64 }; /* told apart when counting replies */
 
 #define POLL_US (5 * USEC_PER_SEC)     /* the longest a server holds one */
 #define RETRY_US (500 * USEC_PER_MSEC) /* before another server is asked */
-#define PAUSE_US                                                              \
+#define POLL_PAUSE_US                                                         \
     (50 * USEC_PER_MSEC) /* between polls that came back empty                \
                           */
 #define START_WAIT_US (1 * USEC_PER_SEC) /* for a majority of control */
-#define LAG_US (1 * USEC_PER_SEC)   /* behind a member before it is asked */
-#define FETCH_US (2 * USEC_PER_SEC) /* for the first text to come */
+#define LAG_LIMIT_US                                                          \
+    (1 * USEC_PER_SEC) /* behind a member before it is asked */
+#define FETCH_RETRY_US (2 * USEC_PER_SEC) /* for the first text to come */
 
 /* A follower that waits here for something newer. */
 struct poll {
     struct name from;
     uint64_t have_version;
     uint64_t known_version; /* answered with one above it */
-    int64_t until_us;
+    int64_t deadline_us;
     bool has_text;
     bool version_only;
 };
@@ -35,17 +36,20 @@
     struct blob *text;
     uint64_t old_version; /* the one before, to send changes against */
     struct blob *old_text;
-    size_t control; /* asked last */
-    bool silent;    /* the server asked last has not replied */
-    bool whole;     /* a change did not fit: ask for the whole text */
-    int64_t due_us;
+    size_t control_index; /* asked last */
+    bool awaiting_reply;  /* the server asked last has not replied */
+    bool need_whole_text; /* a change did not fit: ask for the whole text */
+    int64_t poll_due_us;
     int64_t started_us;
-    uint64_t replied;      /* control processes that replied since the start */
-    uint64_t told_version; /* newest that any told of, until one is in force */
-    struct name told_by;
-    int64_t fetch_us;  /* no text is asked for again before */
-    int64_t behind_us; /* since when a member has a newer version; 0: none */
-    uint64_t reported; /* sum of the versions told to control of our zone */
+    uint64_t replied_set; /* control processes that replied since the start */
+    uint64_t
+        announced_version; /* newest that any told of, until one is in force */
+    struct name announced_by;
+    int64_t next_fetch_us; /* no text is asked for again before */
+    int64_t
+        behind_since_us; /* since when a member has a newer version; 0: none */
+    uint64_t
+        reported_sum; /* sum of the versions told to control of our zone */
     struct served_texts served;
     struct poll polls[INSTANCES_MAX];
     size_t n_polls;
@@ -59,7 +63,7 @@
     if (f == NULL) {
         abort();
     }
-    f->due_us = e->opts.n_controls > 0 ? 0 : INT64_MAX;
+    f->poll_due_us = e->opts.n_controls > 0 ? 0 : INT64_MAX;
     return f;
 }
 
@@ -85,12 +89,12 @@
 /* What the others of our zone have in force, for control's status: they poll
  * here, so that control hears of them from nobody else. */
 static void
-report_zone(struct entry *e, struct rec_config_request *r)
+add_zone_versions(struct entry *e, struct rec_config_request *r)
 {
     size_t at = 0;
     struct member *m;
 
-    e->config_sync->reported = 0;
+    e->config_sync->reported_sum = 0;
     r->members = calloc(e->opts.n_peers, sizeof(*r->members));
     while (r->members != NULL && (m = members_next(e, &at)) != NULL) {
         if (in_our_zone(e, m)) {
@@ -101,7 +105,7 @@
                 .version = m->config_version,
                 .age_us = (uint64_t)(e->now.mono_us - m->heard_us),
             };
-            e->config_sync->reported += m->config_version;
+            e->config_sync->reported_sum += m->config_version;
         }
     }
 }
@@ -112,27 +116,27 @@
     struct msg m = {.kind = MSG_CONFIG_REQUEST};
 
     if (members_by_name(e, server) == NULL) {
-        report_zone(e, &m.u.config_request);
+        add_zone_versions(e, &m.u.config_request);
     }
 
     m.u.config_request.have_version = e->config_sync->version;
     m.u.config_request.incarnation = e->opts.incarnation;
     m.u.config_request.zone = e->zone;
     m.u.config_request.has_text =
-        e->config_sync->text != NULL && !e->config_sync->whole;
+        e->config_sync->text != NULL && !e->config_sync->need_whole_text;
     m.u.config_request.version_only = version_only ? 1 : 0;
     m.u.config_request.known_version = e->config_sync->version;
     entry_send(e, server, &m);
 }
 
 static void
-ask(struct entry *e, struct name server)
+poll_text(struct entry *e, struct name server)
 {
     send_request(e, server, false);
 }
 
 static void
-ask_version(struct entry *e, struct name server)
+poll_version(struct entry *e, struct name server)
 {
     send_request(e, server, true);
 }
@@ -140,7 +144,7 @@
 /* The first member of our zone that is up and stays: it asks across zones
  * for all of them. */
 static bool
-zone_follower(const struct entry *e, struct name *out)
+zone_poller(const struct entry *e, struct name *out)
 {
     size_t at = 0;
     struct member *m;
@@ -178,7 +182,7 @@
  * what this instance had in force before it restarted.  The text of each of
  * them would fill a slow link, again with each question. */
 static void
-ask_everyone(struct entry *e)
+poll_all_versions(struct entry *e)
 {
     struct config_sync *f = e->config_sync;
     bool first = f->started_us == 0;
@@ -187,37 +191,39 @@
 
     f->started_us = first ? e->now.mono_us : f->started_us;
     for (size_t i = 0; i < e->opts.n_controls; i++) {
-        ask_version(e, e->opts.controls[i]);
+        poll_version(e, e->opts.controls[i]);
     }
     while (!first && (m = members_next(e, &at)) != NULL) {
         if (!m->self && m->up && name_equal(m->zone, e->zone)) {
-            ask_version(e, m->name);
+            poll_version(e, m->name);
         }
     }
-    f->due_us = e->now.mono_us + RETRY_US;
+    f->poll_due_us = e->now.mono_us + RETRY_US;
 }
 
 static void
-ask_one(struct entry *e)
+poll_server(struct entry *e)
 {
     struct config_sync *f = e->config_sync;
     struct name server;
 
-    if (!zone_follower(e, &server)) {
-        f->control = (f->control + (f->silent ? 1 : 0)) % e->opts.n_controls;
-        server = e->opts.controls[f->control];
+    if (!zone_poller(e, &server)) {
+        f->control_index = (f->control_index + (f->awaiting_reply ? 1 : 0)) %
+                           e->opts.n_controls;
+        server = e->opts.controls[f->control_index];
     }
-    ask(e, server);
-    f->silent = true;
-    f->due_us = e->now.mono_us + POLL_US + RETRY_US;
+    poll_text(e, server);
+    f->awaiting_reply = true;
+    f->poll_due_us = e->now.mono_us + POLL_US + RETRY_US;
 }
 
 /* ---- what came ---- */
 
 static int
-control_number(const struct entry *e, struct name from)
+control_index_of(const struct entry *e, struct name from)
 {
-    for (size_t i = 0; i < e->opts.n_controls && i < CONTROLS_MAX; i++) {
+    for (size_t i = 0; i < e->opts.n_controls && i < CONTROLS_COUNTED_MAX;
+         i++) {
         if (name_equal(e->opts.controls[i], from)) {
             return (int)i;
         }
@@ -226,7 +232,7 @@
 }
 
 static void
-put_in_force(struct entry *e)
+apply_text(struct entry *e)
 {
     struct config_sync *f = e->config_sync;
     struct servicefile_errors errs = {0};
@@ -250,7 +256,7 @@
 static bool
 majority_replied(const struct entry *e)
 {
-    size_t replied = (size_t)__builtin_popcountll(e->config_sync->replied);
+    size_t replied = (size_t)__builtin_popcountll(e->config_sync->replied_set);
 
     return replied > e->opts.n_controls / 2;
 }
@@ -258,57 +264,57 @@
 /* The first version after a start waits for a majority of control, or for
  * some time. */
 static bool
-may_start(const struct entry *e)
+may_apply_first(const struct entry *e)
 {
     return e->now.mono_us - e->config_sync->started_us >= START_WAIT_US ||
            majority_replied(e);
 }
 
 static void
-fetch_first(struct entry *e)
+request_first_text(struct entry *e)
 {
     struct config_sync *f = e->config_sync;
 
-    if (f->told_version <= f->version || !may_start(e) ||
-        e->now.mono_us < f->fetch_us) {
+    if (f->announced_version <= f->version || !may_apply_first(e) ||
+        e->now.mono_us < f->next_fetch_us) {
         return;
     }
-    ask(e, f->told_by);
-    f->fetch_us = e->now.mono_us + FETCH_US;
-    f->told_version = 0; /* who does not send it may be silent by now */
+    poll_text(e, f->announced_by);
+    f->next_fetch_us = e->now.mono_us + FETCH_RETRY_US;
+    f->announced_version = 0; /* who does not send it may be silent by now */
 }
 
 /* The first version is none that a member is known to be past. */
 static void
-consider(struct entry *e)
+apply_if_newer(struct entry *e)
 {
     struct config_sync *f = e->config_sync;
     const struct member *ahead = newest_member(e);
 
     if (e->config == NULL) {
-        fetch_first(e);
+        request_first_text(e);
     }
     if (f->text == NULL ||
         (f->version <= entry_config_version(e) && !MUTANT(e, ANY_VERSION))) {
         return;
     }
     if (e->config == NULL &&
-        (!may_start(e) ||
+        (!may_apply_first(e) ||
          (ahead != NULL && ahead->config_version > f->version))) {
         return;
     }
-    put_in_force(e);
+    apply_text(e);
 }
 
-static void serve_polls(struct entry *e);
+static void answer_polls(struct entry *e);
 
 static void
-take_text(struct entry *e, const struct rec_config_reply *m)
+receive_text(struct entry *e, const struct rec_config_reply *m)
 {
     struct config_sync *f = e->config_sync;
     struct blob *text = textpack_read_reply(m, f->text, f->version);
 
-    f->whole = text == NULL;
+    f->need_whole_text = text == NULL;
     if (text == NULL) {
         entry_log(e, LOG_WARNING, REASON_BAD_MESSAGE, NULL, -1, name_of(""),
                   "the change to version %llu does not fit version %llu",
@@ -322,14 +328,14 @@
     f->text = text;
     f->version = m->version;
     f->term = m->term;
-    serve_polls(e);
+    answer_polls(e);
 }
 
 static void
 on_reply(struct entry *e, struct name from, const struct rec_config_reply *m)
 {
     struct config_sync *f = e->config_sync;
-    int control = control_number(e, from);
+    int control = control_index_of(e, from);
 
     if (e->opts.n_controls == 0 ||
         (control < 0 && members_by_name(e, from) == NULL)) {
@@ -337,28 +343,28 @@
         return;
     }
     if (control >= 0) {
-        f->replied |= UINT64_C(1) << control;
+        f->replied_set |= UINT64_C(1) << control;
     }
     if (e->config != NULL) {
-        f->silent = false; /* this server lives: stay with it */
-        f->due_us = e->now.mono_us + PAUSE_US;
+        f->awaiting_reply = false; /* this server lives: stay with it */
+        f->poll_due_us = e->now.mono_us + POLL_PAUSE_US;
     }
-    if (m->version > f->told_version) {
-        f->told_version = m->version;
-        f->told_by = from;
+    if (m->version > f->announced_version) {
+        f->announced_version = m->version;
+        f->announced_by = from;
     }
     if ((m->version > f->version || MUTANT(e, ANY_VERSION)) &&
         m->config != NULL) {
-        take_text(e, m);
+        receive_text(e, m);
     }
-    consider(e);
+    apply_if_newer(e);
 }
 
 /* ---- serving ---- */
 
 static void
-reply(struct entry *e, struct name to, bool newer, uint64_t have,
-      bool has_text)
+send_reply(struct entry *e, struct name to, bool newer, uint64_t have,
+           bool has_text)
 {
     struct config_sync *f = e->config_sync;
     struct msg m = {.kind = MSG_CONFIG_REPLY};
@@ -378,7 +384,7 @@
 }
 
 static void
-hold(struct entry *e, struct name from, const struct rec_config_request *m)
+add_poll(struct entry *e, struct name from, const struct rec_config_request *m)
 {
     struct config_sync *f = e->config_sync;
     struct poll *p = NULL;
@@ -396,7 +402,7 @@
     p->known_version = m->known_version;
     p->has_text = m->has_text != 0;
     p->version_only = m->version_only != 0;
-    p->until_us = e->now.mono_us + POLL_US;
+    p->deadline_us = e->now.mono_us + POLL_US;
 }
 
 static void
@@ -408,17 +414,17 @@
         return;
     }
     if (e->config_sync->version > m->known_version) {
-        reply(e, from, m->version_only == 0, m->have_version,
-              m->has_text != 0);
+        send_reply(e, from, m->version_only == 0, m->have_version,
+                   m->has_text != 0);
         return;
     }
-    hold(e, from, m);
+    add_poll(e, from, m);
 }
 
 /* Answers the held polls that something newer came for, or whose time is
  * over. */
 static void
-serve_polls(struct entry *e)
+answer_polls(struct entry *e)
 {
     struct config_sync *f = e->config_sync;
     size_t kept = 0;
@@ -427,10 +433,10 @@
         struct poll p = f->polls[i];
 
         if (f->version > p.known_version) {
-            reply(e, p.from, !p.version_only, p.have_version, p.has_text);
+            send_reply(e, p.from, !p.version_only, p.have_version, p.has_text);
         }
-        else if (e->now.mono_us >= p.until_us) {
-            reply(e, p.from, false, p.have_version, false);
+        else if (e->now.mono_us >= p.deadline_us) {
+            send_reply(e, p.from, false, p.have_version, false);
         }
         else {
             f->polls[kept++] = p;
@@ -460,15 +466,15 @@
     const struct member *ahead = newest_member(e);
 
     if (ahead == NULL) {
-        f->behind_us = 0;
+        f->behind_since_us = 0;
         return;
     }
-    if (f->behind_us == 0) {
-        f->behind_us = e->now.mono_us;
+    if (f->behind_since_us == 0) {
+        f->behind_since_us = e->now.mono_us;
     }
-    else if (e->now.mono_us - f->behind_us >= LAG_US) {
-        f->behind_us = e->now.mono_us;
-        ask(e, ahead->name);
+    else if (e->now.mono_us - f->behind_since_us >= LAG_LIMIT_US) {
+        f->behind_since_us = e->now.mono_us;
+        poll_text(e, ahead->name);
     }
 }
 
@@ -476,7 +482,7 @@
  * next poll, control's status would be late by as long as a poll is held, and
  * the operator would see instances lag that do not. */
 static void
-report_changes(struct entry *e)
+report_zone_changes(struct entry *e)
 {
     struct config_sync *f = e->config_sync;
     struct name server;
@@ -484,36 +490,36 @@
     size_t at = 0;
     struct member *m;
 
-    if (zone_follower(e, &server)) {
+    if (zone_poller(e, &server)) {
         return;
     }
     while ((m = members_next(e, &at)) != NULL) {
         sum += in_our_zone(e, m) ? m->config_version : 0;
     }
-    if (sum != f->reported) {
-        ask(e, e->opts.controls[f->control]);
+    if (sum != f->reported_sum) {
+        poll_text(e, e->opts.controls[f->control_index]);
     }
 }
 
 void
 config_sync_tick(struct entry *e)
 {
-    serve_polls(e);
+    answer_polls(e);
     if (e->opts.n_controls == 0) {
         return;
     }
-    if (e->now.mono_us >= e->config_sync->due_us) {
+    if (e->now.mono_us >= e->config_sync->poll_due_us) {
         if (e->config == NULL) {
-            ask_everyone(e);
-            consider(e);
+            poll_all_versions(e);
+            apply_if_newer(e);
         }
         else {
-            ask_one(e);
+            poll_server(e);
         }
     }
     if (e->config != NULL) {
         catch_up(e);
-        report_changes(e);
+        report_zone_changes(e);
     }
 }
 
@@ -521,15 +527,15 @@
 config_sync_next_us(const struct entry *e)
 {
     const struct config_sync *f = e->config_sync;
-    int64_t next = f->due_us;
+    int64_t next = f->poll_due_us;
 
     for (size_t i = 0; i < f->n_polls; i++) {
-        int64_t until = f->polls[i].until_us;
+        int64_t until = f->polls[i].deadline_us;
 
         next = until < next ? until : next;
     }
-    if (f->behind_us > 0 && f->behind_us + LAG_US < next) {
-        next = f->behind_us + LAG_US;
+    if (f->behind_since_us > 0 && f->behind_since_us + LAG_LIMIT_US < next) {
+        next = f->behind_since_us + LAG_LIMIT_US;
     }
     return next;
 }
--- a/src/control.c
+++ b/src/control.c
@@ -100,18 +100,18 @@
 void
 control_send(struct control *c, struct name to, struct msg *m, uint64_t seq)
 {
-    struct deferred_message *held;
+    struct deferred_message *grown;
 
     if (seq <= c->synced_seq ||
         c->opts.breaks[CONTROL_BREAK_ACK_BEFORE_SYNC]) {
         send_now(c, to, m);
         return;
     }
-    held = realloc(c->deferred, (c->n_deferred + 1) * sizeof(*held));
-    if (held == NULL) {
+    grown = realloc(c->deferred, (c->n_deferred + 1) * sizeof(*grown));
+    if (grown == NULL) {
         abort();
     }
-    c->deferred = held;
+    c->deferred = grown;
     c->deferred[c->n_deferred].sync_seq = seq;
     c->deferred[c->n_deferred].to = to;
     c->deferred[c->n_deferred].msg = *m;
@@ -120,7 +120,7 @@
 }
 
 static void
-release_held(struct control *c)
+send_deferred(struct control *c)
 {
     size_t kept = 0;
 
@@ -149,7 +149,7 @@
 }
 
 static void
-take_entries(struct control *c, const struct storage_found *found)
+load_entries(struct control *c, const struct storage_found *found)
 {
     for (size_t i = 0; i < found->n_entries; i++) {
         struct rec_log_entry e = found->entries[i];
@@ -161,7 +161,7 @@
 }
 
 static bool
-take_snapshot(struct control *c, const struct storage_found *found)
+load_snapshot(struct control *c, const struct storage_found *found)
 {
     uint64_t index = 0;
     uint64_t term = 0;
@@ -194,11 +194,11 @@
     c->served.render = o->render;
     fsm_init(&c->fsm, o->limits);
     clog_init(&c->log, found->snapshot_index, found->snapshot_term);
-    if (!take_snapshot(c, found)) {
+    if (!load_snapshot(c, found)) {
         control_free(c);
         return NULL;
     }
-    take_entries(c, found);
+    load_entries(c, found);
     c->term = found->term;
     c->vote = found->vote;
     if (clog_last_term(&c->log) > c->term) {
@@ -246,7 +246,7 @@
 
 /* The term a message claims; 0 where it has none. */
 static uint64_t
-term_of(const struct msg *m)
+message_term(const struct msg *m)
 {
     switch (m->kind) {
     case MSG_VOTE:
@@ -270,12 +270,14 @@
  * not move the term: it would be saved, spread to all members, and near its
  * largest value no election could be held any more. */
 static const char *
-member_fault(const struct control *c, struct name from, const struct msg *m)
+check_member_message(const struct control *c, struct name from,
+                     const struct msg *m)
 {
     if (!is_member(c, from)) {
         return "is no member";
     }
-    if (term_of(m) > c->term && term_of(m) - c->term > TERM_JUMP_MAX) {
+    if (message_term(m) > c->term &&
+        message_term(m) - c->term > TERM_JUMP_MAX) {
         return "claims an impossible term";
     }
     return NULL;
@@ -324,7 +326,7 @@
 }
 
 static bool
-between_members(enum msg_kind kind)
+is_member_kind(enum msg_kind kind)
 {
     return (kind >= MSG_VOTE && kind <= MSG_HAND_OVER) ||
            kind == MSG_FOLLOWERS || kind == MSG_MEMBERSHIP;
@@ -343,8 +345,8 @@
         enroll_on_join(c, from, &m->u.join);
         return;
     }
-    if (between_members(m->kind)) {
-        fault = member_fault(c, from, m);
+    if (is_member_kind(m->kind)) {
+        fault = check_member_message(c, from, m);
     }
     if (fault == NULL) {
         on_member_message(c, from, m);
@@ -363,14 +365,14 @@
     }
     c->synced_seq = seq;
     clog_saved(&c->log, seq);
-    release_held(c);
+    send_deferred(c);
     election_count_votes(c);
     replicate_advance_commit(c);
     apply_compact_log(c);
 }
 
 static struct progress *
-successor(struct control *c)
+transfer_target(struct control *c)
 {
     struct progress *best = NULL;
 
@@ -389,9 +391,9 @@
 /* Asks the most advanced voter to take over.  Without it, a planned stop of
  * the leader would cost an election timeout without publications. */
 static void
-hand_over(struct control *c)
+transfer_leadership(struct control *c)
 {
-    struct progress *p = successor(c);
+    struct progress *p = transfer_target(c);
     struct msg m = {.kind = MSG_HAND_OVER};
 
     if (p == NULL || p->match_index < clog_last(&c->log)) {
@@ -404,17 +406,17 @@
 }
 
 static void
-leave_lead(struct control *c)
+transfer_if_due(struct control *c)
 {
     bool late =
         c->now.mono_us + c->opts.heartbeat_interval_us >= c->stop_deadline_us;
 
     if (c->stopping && (!serve_has_pending_entry(c) || late)) {
-        hand_over(c);
+        transfer_leadership(c);
     }
     else if (c->transfer_requested) {
         c->transfer_requested = false;
-        hand_over(c);
+        transfer_leadership(c);
     }
 }
 
@@ -446,7 +448,7 @@
     }
     if (c->role == CONTROL_LEADER) {
         replicate_heartbeat(c);
-        leave_lead(c);
+        transfer_if_due(c);
     }
     if (c->opts.enroll) {
         enroll_tick(c);
@@ -455,7 +457,7 @@
 }
 
 static void
-begin_stop(struct control *c)
+on_stop(struct control *c)
 {
     if (c->stopping) {
         return;
@@ -465,14 +467,14 @@
     control_log(c, LOG_NOTICE, CONTROL_REASON_STOPPING, c->opts.self, "%s",
                 c->role == CONTROL_LEADER ? "leading" : "not leading");
     if (c->role == CONTROL_LEADER) {
-        leave_lead(c);
+        transfer_if_due(c);
     }
 }
 
 static void
-tell_stopped(struct control *c)
+report_stopped(struct control *c)
 {
-    bool leads = c->role == CONTROL_LEADER && successor(c) != NULL;
+    bool leads = c->role == CONTROL_LEADER && transfer_target(c) != NULL;
     bool done = !leads && !serve_has_pending_entry(c);
 
     if (!c->stopping || c->stop_reported ||
@@ -484,7 +486,7 @@
 }
 
 static void
-route(struct control *c, const struct control_event *ev)
+dispatch(struct control *c, const struct control_event *ev)
 {
     switch (ev->kind) {
     case CEV_TICK:
@@ -512,7 +514,7 @@
         enroll_add_contact(c, ev->u.contact.name);
         break;
     case CEV_STOP:
-        begin_stop(c);
+        on_stop(c);
         break;
     default:
         break;
@@ -520,7 +522,7 @@
 }
 
 static void
-tell_members(struct control *c)
+report_members(struct control *c)
 {
     struct msg *m = &control_effects_add(c->fx, CE_MEMBERS)->u.members.msg;
 
@@ -547,7 +549,7 @@
                 (unsigned long long)c->term, (unsigned long long)c->log.base,
                 (unsigned long long)clog_last(&c->log),
                 (unsigned long long)c->fsm.version);
-    tell_members(c);
+    report_members(c);
 }
 
 void
@@ -560,11 +562,11 @@
     if (!c->started) {
         start(c);
     }
-    route(c, ev);
+    dispatch(c, ev);
     apply_committed(c);
     serve_pending(c);
     followers_answer_polls(c);
-    tell_stopped(c);
+    report_stopped(c);
     if (c->needs_sync) {
         c->sync_seq++;
         c->counters.syncs++;
--- a/src/control_recover.c
+++ b/src/control_recover.c
@@ -3,7 +3,7 @@
 #include "control.h"
 
 static void
-apply(struct fsm *f, const struct rec_log_entry *e)
+apply_entry(struct fsm *f, const struct rec_log_entry *e)
 {
     struct msg m;
 
@@ -18,7 +18,7 @@
 }
 
 static void
-find_end(const struct storage_found *found, struct control_recovery *out)
+set_position(const struct storage_found *found, struct control_recovery *out)
 {
     uint64_t term = found->snapshot_term;
 
@@ -47,9 +47,9 @@
         return false;
     }
     for (size_t i = 0; i < found->n_entries; i++) {
-        apply(&f, &found->entries[i]);
+        apply_entry(&f, &found->entries[i]);
     }
-    find_end(found, out);
+    set_position(found, out);
     member.voter = 1;
     member.disk = found->disk;
     fsm_set_members(&f, &members);
--- a/src/control_request.c
+++ b/src/control_request.c
@@ -41,8 +41,8 @@
 }
 
 static void
-refuse(struct control_rejection *why, enum control_result result,
-       const char *detail)
+set_rejection(struct control_rejection *why, enum control_result result,
+              const char *detail)
 {
     why->result = result;
     (void)snprintf(why->detail, sizeof(why->detail), "%s", detail);
@@ -50,8 +50,8 @@
 
 /* Requests. */
 static struct control_mail *
-publish_mail(json_t *root, struct name publisher,
-             struct control_rejection *why)
+parse_publish(json_t *root, struct name publisher,
+              struct control_rejection *why)
 {
     struct control_mail *m = control_mail_new(CEV_PUBLISH);
     struct cev_publish *p = &m->event.u.publish;
@@ -66,8 +66,8 @@
                        "base_version", &base, "request_id", &id, "summary",
                        &summary, "config", &config, &size) != 0 ||
         base < 0) {
-        refuse(why, CONTROL_BAD_PUBLICATION,
-               base < 0 ? "base_version is 0 or more" : error.text);
+        set_rejection(why, CONTROL_BAD_PUBLICATION,
+                      base < 0 ? "base_version is 0 or more" : error.text);
         control_mail_free(m);
         return NULL;
     }
@@ -86,7 +86,7 @@
 }
 
 static bool
-address_sound(const char *text)
+is_valid_address(const char *text)
 {
     struct netaddr a;
 
@@ -94,7 +94,7 @@
 }
 
 static const char *
-change_fault(const char *action, const char *member, const char *address,
+check_change(const char *action, const char *member, const char *address,
              const char *http)
 {
     bool add = strcmp(action, "add") == 0;
@@ -106,14 +106,14 @@
     if (*member == '\0' || strlen(member) >= NAME_SIZE) {
         return "member has 1 to 47 characters";
     }
-    if (add && (!address_sound(address) || !address_sound(http))) {
+    if (add && (!is_valid_address(address) || !is_valid_address(http))) {
         return "address and http are IP:PORT";
     }
     return NULL;
 }
 
 static struct control_mail *
-change_mail(json_t *root, struct control_rejection *why)
+parse_change(json_t *root, struct control_rejection *why)
 {
     struct control_mail *m;
     struct cev_change *c;
@@ -127,12 +127,12 @@
     if (json_unpack_ex(root, &error, JSON_STRICT, "{s:s, s:s, s?s, s?s}",
                        "action", &action, "member", &member, "address",
                        &address, "http", &http) != 0) {
-        refuse(why, CONTROL_BAD_CHANGE, error.text);
+        set_rejection(why, CONTROL_BAD_CHANGE, error.text);
         return NULL;
     }
-    fault = change_fault(action, member, address, http);
+    fault = check_change(action, member, address, http);
     if (fault != NULL) {
-        refuse(why, CONTROL_BAD_CHANGE, fault);
+        set_rejection(why, CONTROL_BAD_CHANGE, fault);
         return NULL;
     }
     m = control_mail_new(CEV_CHANGE);
@@ -147,29 +147,29 @@
 }
 
 static struct control_mail *
-body_mail(enum control_route route, struct name publisher, const char *body,
-          size_t size, struct control_rejection *why)
+parse_body(enum control_route route, struct name publisher, const char *body,
+           size_t size, struct control_rejection *why)
 {
     json_error_t error;
     json_t *root = json_loadb(body, size, JSON_REJECT_DUPLICATES, &error);
     struct control_mail *m;
 
     if (root == NULL) {
-        refuse(why, CONTROL_NOT_JSON, error.text);
+        set_rejection(why, CONTROL_NOT_JSON, error.text);
         return NULL;
     }
     if (route == CONTROL_ROUTE_PUBLISH) {
-        m = publish_mail(root, publisher, why);
+        m = parse_publish(root, publisher, why);
     }
     else {
-        m = change_mail(root, why);
+        m = parse_change(root, why);
     }
     json_decref(root);
     return m;
 }
 
 static struct control_mail *
-read_mail(enum control_route route, const struct control_query *query)
+make_read(enum control_route route, const struct control_query *query)
 {
     struct control_mail *m = control_mail_new(CEV_READ);
     struct cev_read *r = &m->event.u.read;
@@ -195,11 +195,11 @@
     struct control_mail *m;
 
     if (!control_route_is_write(route)) {
-        m = read_mail(route, query);
+        m = make_read(route, query);
         m->event.u.read.request = id;
         return m;
     }
-    m = body_mail(route, publisher, body != NULL ? body : "", size, why);
+    m = parse_body(route, publisher, body != NULL ? body : "", size, why);
     if (m != NULL && route == CONTROL_ROUTE_PUBLISH) {
         m->event.u.publish.request = id;
     }
@@ -235,7 +235,7 @@
 }
 
 static void
-add_winner(json_t *o, const struct ce_reply *r)
+add_winner_json(json_t *o, const struct ce_reply *r)
 {
     const struct rec_publication *p = &r->publication.u.publication;
 
@@ -283,7 +283,7 @@
     if (r->result != CONTROL_OK) {
         o = problem_json(r->result, r->detail);
         if (r->result == CONTROL_TAKEN) {
-            add_winner(o, r);
+            add_winner_json(o, r);
         }
         return o;
     }
@@ -298,7 +298,7 @@
 }
 
 static struct control_response
-response(int status, const char *type, json_t *body)
+make_response(int status, const char *type, json_t *body)
 {
     struct control_response r = {.status = status, .content_type = type};
 
@@ -308,7 +308,7 @@
 }
 
 static const char *
-type_of(enum control_result result)
+media_type(enum control_result result)
 {
     return result == CONTROL_OK ? "application/json"
                                 : "application/problem+json";
@@ -329,8 +329,8 @@
         out.body = strdup(f->u.text.json);
         return out;
     }
-    out = response(control_result_status(r->result), type_of(r->result),
-                   reply_json(route, r));
+    out = make_response(control_result_status(r->result),
+                        media_type(r->result), reply_json(route, r));
     out.retry_after = out.status == 503;
     if (r->result == CONTROL_NOT_LEADER) {
         (void)snprintf(out.location, sizeof(out.location), "http://%s%s%s",
@@ -342,6 +342,7 @@
 struct control_response
 control_response_rejection(const struct control_rejection *why)
 {
-    return response(control_result_status(why->result), type_of(why->result),
-                    problem_json(why->result, why->detail));
+    return make_response(control_result_status(why->result),
+                         media_type(why->result),
+                         problem_json(why->result, why->detail));
 }
--- a/src/control_state.h
+++ b/src/control_state.h
@@ -56,7 +56,7 @@
 };
 
 /** struct pending - a request that cannot be answered yet */
-struct pending {
+struct pending_request {
     enum pending_kind kind;
     uint64_t request_id;
     uint64_t wait_index; /* of the entry; of a read: to be applied first */
@@ -140,7 +140,7 @@
 
     struct deferred_message *deferred;
     size_t n_deferred;
-    struct pending *pending;
+    struct pending_request *pending;
     size_t n_pending;
     struct follower *followers;
     size_t n_followers;
--- a/src/delta.c
+++ b/src/delta.c
@@ -5,22 +5,22 @@
 #include <xxhash.h>
 
 static size_t
-common_prefix(const char *a, const char *b, size_t most)
+common_prefix(const char *a, const char *b, size_t limit)
 {
     size_t n = 0;
 
-    while (n < most && a[n] == b[n]) {
+    while (n < limit && a[n] == b[n]) {
         n++;
     }
     return n;
 }
 
 static size_t
-common_suffix(const char *a_end, const char *b_end, size_t most)
+common_suffix(const char *a_end, const char *b_end, size_t limit)
 {
     size_t n = 0;
 
-    while (n < most && a_end[-1 - (ptrdiff_t)n] == b_end[-1 - (ptrdiff_t)n]) {
+    while (n < limit && a_end[-1 - (ptrdiff_t)n] == b_end[-1 - (ptrdiff_t)n]) {
         n++;
     }
     return n;
@@ -38,12 +38,12 @@
 {
     struct delta d = {.digest = delta_digest(text)};
     size_t old_size = old != NULL ? old->size : 0;
-    size_t most = old_size < text->size ? old_size : text->size;
+    size_t limit = old_size < text->size ? old_size : text->size;
 
-    if (most > 0) {
-        d.prefix = common_prefix(old->data, text->data, most);
+    if (limit > 0) {
+        d.prefix = common_prefix(old->data, text->data, limit);
         d.suffix = common_suffix(old->data + old_size, text->data + text->size,
-                                 most - d.prefix);
+                                 limit - d.prefix);
     }
     d.middle =
         blob_new(text->data + d.prefix, text->size - d.prefix - d.suffix);
--- a/src/election.c
+++ b/src/election.c
@@ -6,16 +6,16 @@
 void
 election_reset_timer(struct control *c)
 {
-    uint64_t spread =
+    uint64_t jitter =
         control_random(c) % (uint64_t)(c->opts.election_timeout_us + 1);
 
     c->election_due_us =
-        c->now.mono_us + c->opts.election_timeout_us + (int64_t)spread;
+        c->now.mono_us + c->opts.election_timeout_us + (int64_t)jitter;
 }
 
 /* No leader was met in this life. */
 static bool
-is_fresh(const struct control *c)
+is_starting(const struct control *c)
 {
     return c->opts.startup_timeout_us > 0 && !c->seen_leader;
 }
@@ -33,7 +33,7 @@
 }
 
 static void
-forget_grants(struct control *c)
+clear_votes(struct control *c)
 {
     for (size_t i = 0; i < PEERS_MAX; i++) {
         c->peers[i].vote_granted = false;
@@ -41,7 +41,7 @@
 }
 
 static void
-ask_for_votes(struct control *c)
+request_votes(struct control *c)
 {
     for (size_t i = 0; i < c->members.n_members; i++) {
         const struct rec_control_member *to = &c->members.members[i];
@@ -66,9 +66,9 @@
     c->pre = pre;
     c->forced = forced;
     c->leader = name_of("");
-    forget_grants(c);
+    clear_votes(c);
     c->campaign_start_us = c->now.mono_us;
-    if (pre && is_fresh(c)) {
+    if (pre && is_starting(c)) {
         election_reset_startup_timer(c);
     }
     else {
@@ -80,12 +80,12 @@
         control_log(c, LOG_NOTICE, CONTROL_REASON_ELECTION, c->opts.self,
                     "term %llu", (unsigned long long)term);
     }
-    ask_for_votes(c);
+    request_votes(c);
     election_count_votes(c);
 }
 
 static void
-begin_to_lead(struct control *c)
+become_leader(struct control *c)
 {
     c->role = CONTROL_LEADER;
     c->leader = c->opts.self;
@@ -109,7 +109,7 @@
         campaign(c, false, c->forced, c->term + 1);
         return;
     }
-    begin_to_lead(c);
+    become_leader(c);
 }
 
 /* The question whether there would be votes comes first and changes no term.
@@ -174,22 +174,23 @@
  * that this folder may stand for a disk that was lost and founded again by
  * mistake.  It then waits for a leader that was elected without it. */
 static bool
-founded_late(struct control *c, struct name from, const struct rec_vote *v)
+may_be_founded_again(struct control *c, struct name from,
+                     const struct rec_vote *v)
 {
-    bool empty = clog_last(&c->log) == CONTROL_FOUNDING_INDEX &&
-                 clog_last_term(&c->log) == CONTROL_FOUNDING_TERM;
-    bool late = empty && v->last_index > CONTROL_FOUNDING_INDEX &&
-                !c->opts.breaks[CONTROL_BREAK_COUNT_ANY_DISK];
+    bool log_is_empty = clog_last(&c->log) == CONTROL_FOUNDING_INDEX &&
+                        clog_last_term(&c->log) == CONTROL_FOUNDING_TERM;
+    bool suspect = log_is_empty && v->last_index > CONTROL_FOUNDING_INDEX &&
+                   !c->opts.breaks[CONTROL_BREAK_COUNT_ANY_DISK];
 
-    if (late) {
+    if (suspect) {
         control_log(c, LOG_WARNING, CONTROL_REASON_FOUNDED, from,
                     "no vote from an empty folder; was its disk lost?");
     }
-    return late;
+    return suspect;
 }
 
 static bool
-up_to_date(const struct control *c, const struct rec_vote *v)
+log_is_up_to_date(const struct control *c, const struct rec_vote *v)
 {
     uint64_t term = clog_last_term(&c->log);
 
@@ -203,7 +204,7 @@
 /* While the leader is heard, nobody else is elected: a member that alone does
  * not hear it must not cost the others their leader. */
 static bool
-leader_is_there(const struct control *c, const struct rec_vote *v)
+has_live_leader(const struct control *c, const struct rec_vote *v)
 {
     if (v->forced != 0 || c->opts.breaks[CONTROL_BREAK_NO_STICKINESS]) {
         return false;
@@ -216,15 +217,16 @@
  * neither wins, and until the next attempt nobody leads.  So of two whose
  * logs are alike, the one with the greater name lets the other go first. */
 static bool
-goes_first(const struct control *c, struct name from, const struct rec_vote *v)
+has_precedence(const struct control *c, struct name from,
+               const struct rec_vote *v)
 {
-    bool underway =
+    bool campaigning =
         c->role == CONTROL_CANDIDATE &&
         c->now.mono_us - c->campaign_start_us < c->opts.startup_timeout_us;
-    bool alike = v->last_term == clog_last_term(&c->log) &&
-                 v->last_index == clog_last(&c->log);
+    bool same_log = v->last_term == clog_last_term(&c->log) &&
+                    v->last_index == clog_last(&c->log);
 
-    return underway && alike && strcmp(c->opts.self.s, from.s) < 0;
+    return campaigning && same_log && strcmp(c->opts.self.s, from.s) < 0;
 }
 
 static void
@@ -245,9 +247,9 @@
  * with its own: three that start together would else vote for themselves.
  * Once only, for the answer may never arrive there. */
 static void
-give_way(struct control *c)
+yield_to_candidate(struct control *c)
 {
-    if (!is_fresh(c) || c->yielded ||
+    if (!is_starting(c) || c->yielded ||
         (c->role == CONTROL_CANDIDATE && !c->pre)) {
         return;
     }
@@ -259,22 +261,22 @@
 static void
 on_pre_vote(struct control *c, struct name from, const struct rec_vote *v)
 {
-    bool granted =
-        v->term > c->term && up_to_date(c, v) && !goes_first(c, from, v);
+    bool granted = v->term > c->term && log_is_up_to_date(c, v) &&
+                   !has_precedence(c, from, v);
 
     if (granted) {
-        give_way(c);
+        yield_to_candidate(c);
     }
     reply_to_vote(c, from, v, granted);
 }
 
 static bool
-grant(struct control *c, struct name from, const struct rec_vote *v)
+grant_vote(struct control *c, struct name from, const struct rec_vote *v)
 {
-    bool free_vote = name_empty(c->vote) || name_equal(c->vote, from) ||
-                     c->opts.breaks[CONTROL_BREAK_VOTE_TWICE];
+    bool vote_is_free = name_empty(c->vote) || name_equal(c->vote, from) ||
+                        c->opts.breaks[CONTROL_BREAK_VOTE_TWICE];
 
-    if (v->term != c->term || !free_vote || !up_to_date(c, v) ||
+    if (v->term != c->term || !vote_is_free || !log_is_up_to_date(c, v) ||
         c->role == CONTROL_LEADER) {
         return false;
     }
@@ -288,7 +290,7 @@
 void
 election_on_vote(struct control *c, struct name from, const struct rec_vote *v)
 {
-    if (leader_is_there(c, v) || founded_late(c, from, v)) {
+    if (has_live_leader(c, v) || may_be_founded_again(c, from, v)) {
         return;
     }
     if (v->pre != 0) {
@@ -298,14 +300,14 @@
     if (v->term > c->term) {
         election_become_follower(c, v->term, name_of(""));
     }
-    reply_to_vote(c, from, v, grant(c, from, v));
+    reply_to_vote(c, from, v, grant_vote(c, from, v));
 }
 
 void
 election_on_vote_reply(struct control *c, struct name from,
                        const struct rec_vote_reply *r)
 {
-    uint64_t wanted = c->pre ? c->term + 1 : c->term;
+    uint64_t campaign_term = c->pre ? c->term + 1 : c->term;
     struct progress *p = quorum_progress(c, from);
 
     if (p == NULL) {
@@ -316,7 +318,7 @@
         return;
     }
     if (c->role != CONTROL_CANDIDATE || r->pre != (c->pre ? 1 : 0) ||
-        r->for_term != wanted || r->granted == 0) {
+        r->for_term != campaign_term || r->granted == 0) {
         return;
     }
     p->disk = r->disk;
--- a/src/enroll.c
+++ b/src/enroll.c
@@ -13,9 +13,10 @@
 #include "control_state.h"
 
 enum {
-    JOIN_US = 400 * 1000, /* between requests; a few fit into a start */
-    VOTERS_KEPT = 3,      /* that must be up before one is removed: below
-                           * that, the next loss would stop the log */
+    JOIN_INTERVAL_US =
+        400 * 1000, /* between requests; a few fit into a start */
+    VOTERS_MIN = 3, /* that must be up before one is removed: below
+                     * that, the next loss would stop the log */
 };
 
 bool
@@ -37,7 +38,7 @@
 }
 
 static void
-ask(struct control *c, struct name to)
+send_join(struct control *c, struct name to)
 {
     struct msg m = {.kind = MSG_JOIN};
 
@@ -51,16 +52,16 @@
 }
 
 static void
-ask_all(struct control *c)
+send_join_to_all(struct control *c)
 {
     for (size_t i = 0; i < c->opts.n_configured; i++) {
-        ask(c, c->opts.configured[i]);
+        send_join(c, c->opts.configured[i]);
     }
     for (size_t i = 0; i < c->members.n_members; i++) {
-        ask(c, c->members.members[i].name);
+        send_join(c, c->members.members[i].name);
     }
     for (size_t i = 0; i < c->n_contacts; i++) {
-        ask(c, c->contacts[i]);
+        send_join(c, c->contacts[i]);
     }
 }
 
@@ -68,7 +69,7 @@
  * old members in its log and would wait for votes for ever.  So whoever hears
  * no leader asks, member or not. */
 static void
-seek_leader(struct control *c)
+join_if_leaderless(struct control *c)
 {
     int64_t silent = c->now.mono_us - c->leader_heard_us;
 
@@ -77,13 +78,14 @@
          silent < 2 * c->opts.election_timeout_us)) {
         return;
     }
-    c->join_due_us = c->now.mono_us + JOIN_US;
-    ask_all(c);
+    c->join_due_us = c->now.mono_us + JOIN_INTERVAL_US;
+    send_join_to_all(c);
 }
 
 static void
-propose(struct control *c, enum change_action action, struct name member,
-        const struct rec_join *j, enum control_reason reason)
+propose_change(struct control *c, enum change_action action,
+               struct name member, const struct rec_join *j,
+               enum control_reason reason)
 {
     struct msg m = {.kind = MSG_MEMBERSHIP};
     struct cev_change change = {.action = action, .member = member};
@@ -104,7 +106,7 @@
 }
 
 static void
-tell_members(struct control *c, struct name to)
+send_members(struct control *c, struct name to)
 {
     struct msg m = {.kind = MSG_MEMBERSHIP};
 
@@ -118,7 +120,7 @@
 /* Its request is a sign of life: what was heard of it before it was removed is
  * old enough to remove it again before it can answer. */
 static void
-note_heard(struct control *c, struct name name)
+record_contact(struct control *c, struct name name)
 {
     struct progress *p = quorum_progress(c, name);
 
@@ -131,12 +133,12 @@
 enroll_on_join(struct control *c, struct name from, const struct rec_join *j)
 {
     if (c->role != CONTROL_LEADER) {
-        tell_members(c, from);
+        send_members(c, from);
         return;
     }
     if (quorum_find_member(c, from) == NULL) {
-        propose(c, CHANGE_ADD, from, j, CONTROL_REASON_ENROLLED);
-        note_heard(c, from);
+        propose_change(c, CHANGE_ADD, from, j, CONTROL_REASON_ENROLLED);
+        record_contact(c, from);
     }
 }
 
@@ -151,7 +153,7 @@
 void
 enroll_on_members(struct control *c, const struct rec_membership *m)
 {
-    struct msg *told;
+    struct msg *update;
 
     if (!c->opts.enroll) {
         return;
@@ -160,9 +162,9 @@
     for (size_t i = 0; i < m->n_members && i < CONTROL_MEMBERS_MAX; i++) {
         c->contacts[c->n_contacts++] = m->members[i].name;
     }
-    told = &control_effects_add(c->fx, CE_MEMBERS)->u.members.msg;
-    told->kind = MSG_MEMBERSHIP;
-    told->u.membership = membership_copy(m);
+    update = &control_effects_add(c->fx, CE_MEMBERS)->u.members.msg;
+    update->kind = MSG_MEMBERSHIP;
+    update->u.membership = membership_copy(m);
 }
 
 /* Since when the leader has heard nothing of a member; a new leader gives all
@@ -177,7 +179,7 @@
 }
 
 static size_t
-voters_heard(struct control *c)
+count_active_voters(struct control *c)
 {
     size_t n = quorum_self_is_voter(c) ? 1 : 0;
 
@@ -191,16 +193,16 @@
 }
 
 static bool
-lost_its_disk(const struct rec_control_member *m, const struct progress *p)
+has_other_disk(const struct rec_control_member *m, const struct progress *p)
 {
     return m->voter != 0 && p->disk != 0 && p->disk != m->disk;
 }
 
 /* One change at a time: the first that is due. */
 static void
-keep_members(struct control *c)
+maintain_members(struct control *c)
 {
-    bool spare = voters_heard(c) >= VOTERS_KEPT;
+    bool spare = count_active_voters(c) >= VOTERS_MIN;
 
     for (size_t i = 0; i < c->members.n_members; i++) {
         struct rec_control_member m = c->members.members[i];
@@ -209,13 +211,14 @@
         if (p == NULL) {
             continue;
         }
-        if (lost_its_disk(&m, p)) {
-            propose(c, CHANGE_REPLACE, m.name, NULL,
-                    CONTROL_REASON_DISK_REPLACED);
+        if (has_other_disk(&m, p)) {
+            propose_change(c, CHANGE_REPLACE, m.name, NULL,
+                           CONTROL_REASON_DISK_REPLACED);
             return;
         }
         if (spare && silent_us(c, p) > c->opts.remove_timeout_us) {
-            propose(c, CHANGE_REMOVE, m.name, NULL, CONTROL_REASON_REMOVED);
+            propose_change(c, CHANGE_REMOVE, m.name, NULL,
+                           CONTROL_REASON_REMOVED);
             return;
         }
     }
@@ -225,11 +228,11 @@
 enroll_tick(struct control *c)
 {
     if (c->role != CONTROL_LEADER) {
-        seek_leader(c);
+        join_if_leaderless(c);
         return;
     }
     if (c->members_index <= c->commit_index &&
         c->term_start_index <= c->commit_index && !c->stopping) {
-        keep_members(c);
+        maintain_members(c);
     }
 }
--- a/src/followers.c
+++ b/src/followers.c
@@ -12,7 +12,7 @@
  * report, one that asks here itself must find room: it would not get any
  * configuration otherwise. */
 static struct follower *
-place_of_reported(struct control *c)
+find_reusable_slot(struct control *c)
 {
     for (size_t i = 0; i < c->n_followers; i++) {
         if (!c->followers[i].polls_directly) {
@@ -36,7 +36,7 @@
 }
 
 static struct follower *
-find_follower(struct control *c, struct name name, bool direct)
+find_or_add_follower(struct control *c, struct name name, bool direct)
 {
     struct follower *f = NULL;
 
@@ -50,7 +50,7 @@
         f = add_follower(c);
     }
     else if (direct) {
-        f = place_of_reported(c);
+        f = find_reusable_slot(c);
     }
     if (f != NULL) {
         memset(f, 0, sizeof(*f));
@@ -62,10 +62,10 @@
 }
 
 static struct follower *
-note_follower(struct control *c, const struct rec_follower *info,
-              struct name via, bool direct)
+update_follower(struct control *c, const struct rec_follower *info,
+                struct name via, bool direct)
 {
-    struct follower *f = find_follower(c, info->instance, direct);
+    struct follower *f = find_or_add_follower(c, info->instance, direct);
     int64_t age = info->age_us < INT64_C(1) << 40 ? (int64_t)info->age_us
                                                   : INT64_C(1) << 40;
 
@@ -93,7 +93,7 @@
         .incarnation = r->incarnation,
         .version = r->have_version,
     };
-    struct follower *f = note_follower(c, &info, c->opts.self, true);
+    struct follower *f = update_follower(c, &info, c->opts.self, true);
 
     if (f == NULL) {
         return;
@@ -105,7 +105,7 @@
     f->known_version = r->known_version;
     f->poll_deadline_us = c->now.mono_us + c->opts.poll_timeout_us;
     for (size_t i = 0; i < r->n_members && i < INSTANCES_MAX; i++) {
-        (void)note_follower(c, &r->members[i], c->opts.self, false);
+        (void)update_follower(c, &r->members[i], c->opts.self, false);
     }
 }
 
@@ -117,12 +117,12 @@
         return;
     }
     for (size_t i = 0; i < list->n_followers && i < FOLLOWERS_MAX; i++) {
-        (void)note_follower(c, &list->followers[i], from, false);
+        (void)update_follower(c, &list->followers[i], from, false);
     }
 }
 
 static void
-answer_poll(struct control *c, struct follower *f, struct msg *m)
+reply_poll(struct control *c, struct follower *f, struct msg *m)
 {
     m->u.config_reply.zone = c->opts.zone;
     f->polling = false;
@@ -130,7 +130,7 @@
 }
 
 static struct published_text
-text_of(const struct control *c, uint64_t version)
+version_text(const struct control *c, uint64_t version)
 {
     return (struct published_text){version,
                                    fsm_version_text(&c->fsm, version)};
@@ -144,14 +144,14 @@
     struct published_text base = {0};
 
     if (f->has_text && fsm_version_text(&c->fsm, f->have_version) != NULL) {
-        base = text_of(c, f->have_version);
+        base = version_text(c, f->have_version);
     }
-    served_text_fill(&c->served, text_of(c, c->fsm.version), base, r);
+    served_text_fill(&c->served, version_text(c, c->fsm.version), base, r);
     r->term = fsm_publication(&c->fsm, c->fsm.version)->term;
     c->counters.configs_sent++;
     c->counters.deltas_sent += r->from_version != 0 ? 1 : 0;
     c->counters.config_bytes_sent += r->config->size;
-    answer_poll(c, f, &m);
+    reply_poll(c, f, &m);
 }
 
 static void
@@ -160,7 +160,7 @@
     struct msg m = {.kind = MSG_CONFIG_REPLY};
 
     m.u.config_reply.version = version;
-    answer_poll(c, f, &m);
+    reply_poll(c, f, &m);
 }
 
 /* After a restart the member knows what its disk holds, but not which of it is
@@ -220,7 +220,7 @@
 }
 
 static void
-ask_to_serve(struct control *c)
+request_read_index(struct control *c)
 {
     struct msg m = {.kind = MSG_READ_INDEX};
 
@@ -250,5 +250,5 @@
         }
     }
     report_followers(c);
-    ask_to_serve(c);
+    request_read_index(c);
 }
--- a/src/fsm.c
+++ b/src/fsm.c
@@ -109,7 +109,7 @@
  * confirmation was lost, and refusing that would tell its operator that it
  * never counted. */
 static struct fsm_outcome
-judge_ranked(const struct fsm *f, const struct rec_publish *p)
+check_ranked(const struct fsm *f, const struct rec_publish *p)
 {
     struct fsm_outcome o = {.result = CONTROL_OK};
 
@@ -127,7 +127,7 @@
     const struct rec_publication *first;
 
     if (p->rank != 0) {
-        return judge_ranked(f, p);
+        return check_ranked(f, p);
     }
     first = find_request(f, p->request_id);
     if (first != NULL) {
@@ -179,7 +179,7 @@
 
 /* An eighth at a time goes, so that a full history isn't moved each time. */
 static void
-make_room(struct fsm *f)
+trim_history(struct fsm *f)
 {
     size_t drop = f->limits.publications / 8 + 1;
 
@@ -200,7 +200,7 @@
     struct rec_publication *history;
     struct rec_publication *added;
 
-    make_room(f);
+    trim_history(f);
     history = realloc(f->history, (f->n_history + 1) * sizeof(*history));
     if (history == NULL) {
         abort();
@@ -251,7 +251,7 @@
 }
 
 static void
-forget_history(struct fsm *f)
+clear_history(struct fsm *f)
 {
     for (size_t i = 0; i < f->n_history; i++) {
         free_publication(&f->history[i]);
@@ -279,7 +279,7 @@
         text = blob_new("", 0);
     }
     p.digest = delta_digest(text);
-    forget_history(f);
+    clear_history(f);
     f->version += RECOVERY_VERSION_GAP;
     (void)add_publication(f, index, term, &p, text->size);
     add_text(f, f->version, text);
@@ -312,7 +312,7 @@
 }
 
 static bool
-state_consistent(const struct rec_control_state *s)
+is_consistent(const struct rec_control_state *s)
 {
     for (size_t i = 0; i < s->n_history; i++) {
         if (s->history[i].version != s->version - s->n_history + 1 + i) {
@@ -341,7 +341,7 @@
     if (wire_decode(state->data, state->size, &m) != WIRE_OK) {
         return false;
     }
-    if (m.kind != MSG_CONTROL_STATE || !state_consistent(s)) {
+    if (m.kind != MSG_CONTROL_STATE || !is_consistent(s)) {
         msg_free(&m);
         return false;
     }
--- a/src/quorum.c
+++ b/src/quorum.c
@@ -98,7 +98,7 @@
 }
 
 static int
-compare_down(const void *a, const void *b)
+compare_descending(const void *a, const void *b)
 {
     uint64_t x = *(const uint64_t *)a;
     uint64_t y = *(const uint64_t *)b;
@@ -108,14 +108,14 @@
 
 /* The highest value that a majority reached. */
 static uint64_t
-majority(const struct control *c, uint64_t values[], size_t n)
+majority_value(const struct control *c, uint64_t values[], size_t n)
 {
     size_t size = quorum_majority(c);
 
     if (n < size) {
         return 0;
     }
-    qsort(values, n, sizeof(*values), compare_down);
+    qsort(values, n, sizeof(*values), compare_descending);
     return values[size - 1];
 }
 
@@ -135,7 +135,7 @@
             values[n++] = c->peers[i].match_index;
         }
     }
-    return majority(c, values, n);
+    return majority_value(c, values, n);
 }
 
 uint64_t
@@ -152,11 +152,12 @@
             values[n++] = c->peers[i].acked_round;
         }
     }
-    return majority(c, values, n);
+    return majority_value(c, values, n);
 }
 
 static size_t
-heard_voters(const struct control *c, int64_t since_us, struct name except)
+count_heard_voters(const struct control *c, int64_t since_us,
+                   struct name except)
 {
     size_t n = quorum_self_is_voter(c) && !name_equal(c->opts.self, except);
 
@@ -172,7 +173,7 @@
 bool
 quorum_is_active(const struct control *c, int64_t since_us)
 {
-    return heard_voters(c, since_us, name_of("")) >= quorum_majority(c);
+    return count_heard_voters(c, since_us, name_of("")) >= quorum_majority(c);
 }
 
 void
@@ -180,15 +181,15 @@
                    uint64_t index)
 {
     struct rec_membership copy = membership_copy(m);
-    struct msg *told;
+    struct msg *update;
 
     membership_free(&c->members);
     c->members = copy;
     c->members_index = index;
     if (c->fx != NULL) {
-        told = &control_effects_add(c->fx, CE_MEMBERS)->u.members.msg;
-        told->kind = MSG_MEMBERSHIP;
-        told->u.membership = membership_copy(m);
+        update = &control_effects_add(c->fx, CE_MEMBERS)->u.members.msg;
+        update->kind = MSG_MEMBERSHIP;
+        update->u.membership = membership_copy(m);
     }
 }
 
@@ -241,7 +242,7 @@
 
 /* Whether the voters that are there would still be a majority without one. */
 static bool
-can_spare(const struct control *c, struct name name)
+can_remove(const struct control *c, struct name name)
 {
     const struct rec_control_member *m = quorum_find_member(c, name);
     int64_t since = c->now.mono_us - c->opts.election_timeout_us;
@@ -253,12 +254,13 @@
     for (size_t i = 0; i < c->members.n_members; i++) {
         voters += c->members.members[i].voter != 0 ? 1 : 0;
     }
-    return voters > 1 && heard_voters(c, since, name) >= (voters - 1) / 2 + 1;
+    return voters > 1 &&
+           count_heard_voters(c, since, name) >= (voters - 1) / 2 + 1;
 }
 
 static enum control_result
-take_out(struct control *c, const struct cev_change *change,
-         struct rec_membership *out, const char **detail)
+remove_or_replace(struct control *c, const struct cev_change *change,
+                  struct rec_membership *out, const char **detail)
 {
     struct rec_control_member *m = find_member(out, change->member);
 
@@ -271,7 +273,7 @@
         *detail = "it leads and hands over now; send the change again";
         return CONTROL_NO_LEADER;
     }
-    if (!can_spare(c, change->member)) {
+    if (!can_remove(c, change->member)) {
         *detail = "the other voters that are up are no majority";
         return CONTROL_BAD_CHANGE;
     }
@@ -304,7 +306,7 @@
         result = add_member(c, change, out, detail);
     }
     else {
-        result = take_out(c, change, out, detail);
+        result = remove_or_replace(c, change, out, detail);
     }
     if (result != CONTROL_OK) {
         membership_free(out);
--- a/src/receive.c
+++ b/src/receive.c
@@ -41,7 +41,7 @@
 }
 
 static bool
-append_sound(const struct rec_append *a)
+is_valid_append(const struct rec_append *a)
 {
     for (size_t i = 0; i < a->n_entries; i++) {
         const struct rec_log_entry *e = &a->entries[i];
@@ -56,7 +56,7 @@
 
 /* Where the leader should try next: before the term that does not agree. */
 static uint64_t
-hint_for(const struct control *c, uint64_t prev)
+next_index_hint(const struct control *c, uint64_t prev)
 {
     uint64_t last = clog_last(&c->log);
     uint64_t term;
@@ -73,7 +73,7 @@
 }
 
 static void
-cut_tail(struct control *c, uint64_t index)
+truncate_log(struct control *c, uint64_t index)
 {
     struct ce_truncate *t =
         &control_effects_add(c->fx, CE_TRUNCATE)->u.truncate;
@@ -91,7 +91,7 @@
 }
 
 static void
-note_members(struct control *c, const struct rec_log_entry *e)
+adopt_members(struct control *c, const struct rec_log_entry *e)
 {
     struct msg m;
 
@@ -107,7 +107,7 @@
 
 /* Adds what is new; false when it contradicts what is committed here. */
 static bool
-take_entries(struct control *c, const struct rec_append *a)
+merge_entries(struct control *c, const struct rec_append *a)
 {
     size_t i = 0;
 
@@ -122,20 +122,20 @@
             if (e->index <= c->commit_index) {
                 return false;
             }
-            cut_tail(c, e->index);
+            truncate_log(c, e->index);
             break;
         }
         i++;
     }
     replicate_append(c, a->entries + i, a->n_entries - i);
     for (; i < a->n_entries; i++) {
-        note_members(c, &a->entries[i]);
+        adopt_members(c, &a->entries[i]);
     }
     return true;
 }
 
 static void
-learn_commit(struct control *c, uint64_t commit, uint64_t match)
+update_commit(struct control *c, uint64_t commit, uint64_t match)
 {
     uint64_t known = commit < match ? commit : match;
 
@@ -151,25 +151,25 @@
 receive_append(struct control *c, struct name from, const struct rec_append *a)
 {
     uint64_t match = a->prev_index + a->n_entries;
-    bool agrees;
+    bool matches;
 
-    if (!append_sound(a) || !accept_leader(c, from, a->term)) {
+    if (!is_valid_append(a) || !accept_leader(c, from, a->term)) {
         reply_append(c, from, a, false, clog_last(&c->log) + 1);
         return;
     }
-    agrees = a->prev_index < c->log.base ||
-             (a->prev_index <= clog_last(&c->log) &&
-              clog_term(&c->log, a->prev_index) == a->prev_term);
-    if (!agrees) {
-        reply_append(c, from, a, false, hint_for(c, a->prev_index));
+    matches = a->prev_index < c->log.base ||
+              (a->prev_index <= clog_last(&c->log) &&
+               clog_term(&c->log, a->prev_index) == a->prev_term);
+    if (!matches) {
+        reply_append(c, from, a, false, next_index_hint(c, a->prev_index));
         return;
     }
-    if (match > c->log.base && !take_entries(c, a)) {
+    if (match > c->log.base && !merge_entries(c, a)) {
         control_log(c, LOG_CRIT, CONTROL_REASON_BAD_ENTRY, from,
                     "contradicts what is committed here");
         return;
     }
-    learn_commit(c, a->commit, match);
+    update_commit(c, a->commit, match);
     /* A heartbeat is answered with what is durable already.  Waiting for a
      * slow disk, this member would look dead, and its leader step down. */
     if (a->n_entries == 0 && match > c->log.durable) {
@@ -194,14 +194,14 @@
 }
 
 static void
-drop_incoming(struct control *c)
+reset_incoming(struct control *c)
 {
     free(c->incoming.data);
     memset(&c->incoming, 0, sizeof(c->incoming));
 }
 
 static bool
-chunk_sound(const struct rec_snapshot *s)
+is_valid_chunk(const struct rec_snapshot *s)
 {
     return s->data != NULL && s->size <= WIRE_FRAME_MAX && s->size > 0 &&
            s->offset < s->size && s->data->size <= s->size - s->offset &&
@@ -210,13 +210,13 @@
 
 /* Adds a chunk; returns the offset wanted next. */
 static uint64_t
-collect(struct control *c, const struct rec_snapshot *s)
+store_chunk(struct control *c, const struct rec_snapshot *s)
 {
     struct incoming_snapshot *in = &c->incoming;
 
     if (in->index != s->index || in->size != s->size ||
         in->term != s->index_term) {
-        drop_incoming(c);
+        reset_incoming(c);
         in->index = s->index;
         in->term = s->index_term;
         in->size = s->size;
@@ -233,11 +233,11 @@
 }
 
 static bool
-install(struct control *c, struct name from)
+install_snapshot(struct control *c, struct name from)
 {
     struct incoming_snapshot *in = &c->incoming;
     struct blob *state = blob_new(in->data, in->size);
-    bool agrees = clog_term(&c->log, in->index) == in->term;
+    bool matches = clog_term(&c->log, in->index) == in->term;
     uint64_t index = 0;
     uint64_t term = 0;
 
@@ -248,7 +248,7 @@
         blob_unref(state);
         return false;
     }
-    if (agrees) {
+    if (matches) {
         clog_drop(&c->log, index);
     }
     else {
@@ -256,7 +256,7 @@
     }
     c->commit_index = index;
     c->applied_index = index;
-    apply_save_snapshot(c, state, index, term, !agrees);
+    apply_save_snapshot(c, state, index, term, !matches);
     quorum_reload_members(c);
     control_log(c, LOG_NOTICE, CONTROL_REASON_INSTALLED, from,
                 "at %llu, version %llu", (unsigned long long)index,
@@ -270,7 +270,7 @@
 {
     uint64_t wanted;
 
-    if (!chunk_sound(s)) {
+    if (!is_valid_chunk(s)) {
         c->counters.messages_bad++;
         return;
     }
@@ -282,14 +282,14 @@
         reply_snapshot(c, from, s, s->size, 0);
         return;
     }
-    wanted = collect(c, s);
-    if (wanted == s->size && !install(c, from)) {
-        drop_incoming(c);
+    wanted = store_chunk(c, s);
+    if (wanted == s->size && !install_snapshot(c, from)) {
+        reset_incoming(c);
         return;
     }
     reply_snapshot(c, from, s, wanted,
                    wanted == s->size ? c->snapshot_sync_seq : 0);
     if (wanted == s->size) {
-        drop_incoming(c);
+        reset_incoming(c);
     }
 }
--- a/src/replicate.c
+++ b/src/replicate.c
@@ -7,7 +7,7 @@
 enum { IN_FLIGHT_MAX = 256 }; /* entries sent and not yet confirmed */
 
 static struct blob *
-encode(const struct msg *m)
+encode_entry(const struct msg *m)
 {
     struct blob *b = wire_encode_blob(m);
 
@@ -42,7 +42,7 @@
 }
 
 static void
-send_append(struct control *c, struct progress *p, size_t most)
+send_append(struct control *c, struct progress *p, size_t max_entries)
 {
     struct msg m = {.kind = MSG_APPEND};
     struct rec_append *a = &m.u.append;
@@ -55,7 +55,7 @@
     a->prev_term = clog_term(&c->log, p->next_index - 1);
     a->commit = c->commit_index;
     a->round = c->heartbeat_round;
-    while (n < most && p->next_index + n <= last &&
+    while (n < max_entries && p->next_index + n <= last &&
            bytes < c->opts.append_batch_bytes) {
         const struct rec_log_entry *e = clog_at(&c->log, p->next_index + n);
 
@@ -99,7 +99,7 @@
 }
 
 static void
-end_snapshot(struct progress *p)
+reset_snapshot(struct progress *p)
 {
     blob_unref(p->snapshot);
     p->snapshot = NULL;
@@ -108,9 +108,9 @@
 }
 
 static void
-begin_snapshot(struct control *c, struct progress *p)
+start_snapshot(struct control *c, struct progress *p)
 {
-    end_snapshot(p);
+    reset_snapshot(p);
     p->snapshot = blob_ref(c->snapshot);
     p->snapshot_index = c->snapshot_index;
     p->snapshot_term = c->snapshot_term;
@@ -119,7 +119,7 @@
 
 /* Sends what the member lacks, as far as it may be sent now. */
 static void
-send_more(struct control *c, struct progress *p)
+send_entries(struct control *c, struct progress *p)
 {
     uint64_t last = clog_last(&c->log);
 
@@ -127,7 +127,7 @@
         return;
     }
     if (p->next_index <= c->log.base) {
-        begin_snapshot(c, p);
+        start_snapshot(c, p);
         return;
     }
     while (p->next_index <= last &&
@@ -137,18 +137,18 @@
 }
 
 static void
-probe(struct control *c, struct progress *p)
+send_probe(struct control *c, struct progress *p)
 {
     if (p->snapshot == NULL && p->next_index <= c->log.base) {
-        begin_snapshot(c, p);
+        start_snapshot(c, p);
         return;
     }
     send_append(c, p, 0);
 }
 
 static void
-for_others(struct control *c,
-           void (*visit)(struct control *c, struct progress *p))
+for_each_peer(struct control *c,
+              void (*visit)(struct control *c, struct progress *p))
 {
     for (size_t i = 0; i < c->members.n_members; i++) {
         struct progress *p = quorum_progress(c, c->members.members[i].name);
@@ -167,7 +167,7 @@
         .index = clog_last(&c->log) + 1,
         .term = c->term,
         .kind = kind,
-        .data = data != NULL ? encode(data) : NULL,
+        .data = data != NULL ? encode_entry(data) : NULL,
     };
 
     replicate_append(c, &e, 1);
@@ -175,23 +175,23 @@
     if (kind == LOG_KIND_MEMBERS) {
         quorum_set_members(c, &data->u.membership, e.index);
     }
-    for_others(c, send_more);
+    for_each_peer(c, send_entries);
     replicate_advance_commit(c);
     return e.index;
 }
 
 static void
-beat(struct control *c, struct progress *p)
+send_heartbeat(struct control *c, struct progress *p)
 {
-    bool overdue =
+    bool chunk_overdue =
         c->now.mono_us - p->chunk_sent_us >= 2 * c->opts.heartbeat_interval_us;
 
-    if (p->snapshot != NULL && overdue) {
+    if (p->snapshot != NULL && chunk_overdue) {
         send_chunk(c, p);
         return;
     }
     if (p->snapshot != NULL || p->is_probing) {
-        probe(c, p);
+        send_probe(c, p);
         return;
     }
     send_append(c, p, 0);
@@ -202,13 +202,13 @@
 {
     c->heartbeat_round++;
     c->round_start_us = c->now.mono_us;
-    for_others(c, beat);
+    for_each_peer(c, send_heartbeat);
 }
 
 static void
-restart_progress(struct control *c, struct progress *p)
+reset_progress(struct control *c, struct progress *p)
 {
-    end_snapshot(p);
+    reset_snapshot(p);
     p->next_index = clog_last(&c->log) + 1;
     p->match_index = 0;
     p->acked_round = 0;
@@ -219,7 +219,7 @@
 replicate_init_leader(struct control *c)
 {
     for (size_t i = 0; i < PEERS_MAX; i++) {
-        restart_progress(c, &c->peers[i]);
+        reset_progress(c, &c->peers[i]);
     }
     c->term_start_index = clog_last(&c->log) + 1;
     (void)replicate_propose(c, LOG_KIND_NOOP, NULL);
@@ -228,7 +228,7 @@
 }
 
 static void
-announce_commit(struct control *c, struct progress *p)
+send_commit(struct control *c, struct progress *p)
 {
     if (p->snapshot == NULL && !p->is_probing) {
         send_append(c, p, 0);
@@ -251,12 +251,12 @@
         return;
     }
     c->commit_index = index;
-    for_others(c, announce_commit);
+    for_each_peer(c, send_commit);
 }
 
 /* Notes that a member spoke; NULL when the reply is not for this leader. */
 static struct progress *
-reply_from(struct control *c, struct name from, uint64_t term, uint64_t disk)
+accept_reply(struct control *c, struct name from, uint64_t term, uint64_t disk)
 {
     struct progress *p = quorum_progress(c, from);
     const struct rec_control_member *m = quorum_find_member(c, from);
@@ -269,7 +269,7 @@
             control_log(c, LOG_WARNING, CONTROL_REASON_OTHER_DISK, from,
                         "no vote until it is replaced");
         }
-        restart_progress(c, p);
+        reset_progress(c, p);
         p->disk = disk;
     }
     p->last_heard_us = c->now.mono_us;
@@ -285,7 +285,7 @@
 }
 
 static void
-confirmed(struct control *c, struct progress *p, uint64_t match)
+on_match(struct control *c, struct progress *p, uint64_t match)
 {
     if (match > clog_last(&c->log)) {
         return;
@@ -299,14 +299,14 @@
     p->is_probing = false;
     replicate_advance_commit(c);
     quorum_promote_learner(c, p);
-    send_more(c, p);
+    send_entries(c, p);
 }
 
 void
 replicate_on_append_reply(struct control *c, struct name from,
                           const struct rec_append_reply *r)
 {
-    struct progress *p = reply_from(c, from, r->term, r->disk);
+    struct progress *p = accept_reply(c, from, r->term, r->disk);
 
     if (p == NULL) {
         return;
@@ -315,7 +315,7 @@
         p->acked_round = r->round;
     }
     if (r->ok != 0) {
-        confirmed(c, p, r->match);
+        on_match(c, p, r->match);
         return;
     }
     if (p->snapshot != NULL || r->hint > p->next_index) {
@@ -325,14 +325,14 @@
      * term are given up as a whole, though the first of them agree. */
     p->next_index = r->hint > p->match_index ? r->hint : p->match_index + 1;
     p->is_probing = true;
-    probe(c, p);
+    send_probe(c, p);
 }
 
 void
 replicate_on_snapshot_reply(struct control *c, struct name from,
                             const struct rec_snapshot_reply *r)
 {
-    struct progress *p = reply_from(c, from, r->term, r->disk);
+    struct progress *p = accept_reply(c, from, r->term, r->disk);
 
     if (p == NULL) {
         return;
@@ -345,8 +345,8 @@
         return;
     }
     if (r->offset == p->snapshot->size) {
-        end_snapshot(p);
-        confirmed(c, p, r->index);
+        reset_snapshot(p);
+        on_match(c, p, r->index);
         return;
     }
     if (r->offset != p->next_offset) {
--- a/src/serve.c
+++ b/src/serve.c
@@ -26,7 +26,7 @@
 }
 
 static void
-attach(struct ce_reply *r, const struct rec_publication *p)
+attach_publication(struct ce_reply *r, const struct rec_publication *p)
 {
     if (p != NULL) {
         r->publication.kind = MSG_PUBLICATION;
@@ -41,13 +41,13 @@
 {
     struct ce_reply *r = reply(c, request, o->result, "");
 
-    attach(r, o->publication);
+    attach_publication(r, o->publication);
     r->resend = o->resend;
     c->counters.resent += o->resend ? 1 : 0;
 }
 
 static void
-send_elsewhere(struct control *c, uint64_t request)
+redirect_to_leader(struct control *c, uint64_t request)
 {
     const struct rec_control_member *m = quorum_find_member(c, c->leader);
     struct ce_reply *r;
@@ -62,10 +62,10 @@
 }
 
 /* Requests that wait. */
-static struct pending *
+static struct pending_request *
 add_pending(struct control *c, enum pending_kind kind, uint64_t request)
 {
-    struct pending *p;
+    struct pending_request *p;
 
     if (c->n_pending >= PENDING_MAX) {
         return NULL;
@@ -84,7 +84,7 @@
 }
 
 static void
-drop_pending(struct control *c, size_t at)
+remove_pending(struct control *c, size_t at)
 {
     c->n_pending--;
     memmove(&c->pending[at], &c->pending[at + 1],
@@ -92,9 +92,9 @@
 }
 
 static void
-wait_for_entry(struct control *c, uint64_t request, uint64_t index)
+add_pending_entry(struct control *c, uint64_t request, uint64_t index)
 {
-    struct pending *p = add_pending(c, PENDING_ENTRY, request);
+    struct pending_request *p = add_pending(c, PENDING_ENTRY, request);
 
     p->wait_index = index;
     p->term = c->term;
@@ -113,14 +113,14 @@
 
 /* Whether this member may take a change; answers otherwise. */
 static bool
-takes_changes(struct control *c, uint64_t request)
+accepts_changes(struct control *c, uint64_t request)
 {
     if (c->stopping) {
         (void)reply(c, request, CONTROL_STOPPING, "");
         return false;
     }
     if (c->role != CONTROL_LEADER) {
-        send_elsewhere(c, request);
+        redirect_to_leader(c, request);
         return false;
     }
     if (c->n_pending >= PENDING_MAX) {
@@ -141,7 +141,7 @@
 }
 
 static const char *
-publication_fault(const struct cev_publish *p)
+check_publication(const struct cev_publish *p)
 {
     size_t id = strnlen(p->request_id, REQUEST_ID_MAX + 1);
 
@@ -161,7 +161,7 @@
  * It is looked at only where the base still is the newest when it is applied,
  * so every member then has that text. */
 static struct msg
-publish_entry(struct control *c, const struct cev_publish *p)
+make_publish_entry(struct control *c, const struct cev_publish *p)
 {
     struct msg m = {.kind = MSG_PUBLISH};
     struct rec_publish *r = &m.u.publish;
@@ -193,7 +193,7 @@
 void
 serve_publish(struct control *c, const struct cev_publish *p)
 {
-    const char *fault = publication_fault(p);
+    const char *fault = check_publication(p);
     struct fsm_outcome o;
     struct msg m;
 
@@ -203,14 +203,14 @@
         c->counters.resent++;
         return;
     }
-    if (!takes_changes(c, p->request)) {
+    if (!accepts_changes(c, p->request)) {
         return;
     }
     if (fault != NULL) {
         (void)reply(c, p->request, CONTROL_BAD_PUBLICATION, fault);
         return;
     }
-    m = publish_entry(c, p);
+    m = make_publish_entry(c, p);
     o = fsm_check_publish(&c->fsm, &m.u.publish);
     if (!c->opts.breaks[CONTROL_BREAK_FORGET_REQUESTS] &&
         (o.resend || o.result == CONTROL_REUSED ||
@@ -222,7 +222,7 @@
         /* A base version above ours may be on its way here. */
         uint64_t index = replicate_propose(c, LOG_KIND_PUBLISH, &m);
 
-        wait_for_entry(c, p->request, index);
+        add_pending_entry(c, p->request, index);
     }
     msg_free(&m);
 }
@@ -234,7 +234,7 @@
     const char *detail = "";
     enum control_result result;
 
-    if (!takes_changes(c, change->request)) {
+    if (!accepts_changes(c, change->request)) {
         return;
     }
     result = quorum_prepare_change(c, change, &m.u.membership, &detail);
@@ -242,8 +242,8 @@
         (void)reply(c, change->request, result, detail);
         return;
     }
-    wait_for_entry(c, change->request,
-                   replicate_propose(c, LOG_KIND_MEMBERS, &m));
+    add_pending_entry(c, change->request,
+                      replicate_propose(c, LOG_KIND_MEMBERS, &m));
     msg_free(&m);
 }
 
@@ -252,7 +252,7 @@
                     const struct fsm_outcome *o)
 {
     for (size_t i = c->n_pending; i > 0; i--) {
-        struct pending *p = &c->pending[i - 1];
+        struct pending_request *p = &c->pending[i - 1];
 
         if (p->kind != PENDING_ENTRY || p->wait_index != index) {
             continue;
@@ -266,13 +266,13 @@
             (void)reply(c, p->request_id, CONTROL_NO_LEADER,
                         "the leader changed before it was accepted");
         }
-        drop_pending(c, i - 1);
+        remove_pending(c, i - 1);
     }
 }
 
 /* Reads. */
 static void
-text(struct control *c, uint64_t request, char *json)
+reply_text(struct control *c, uint64_t request, char *json)
 {
     struct ce_text *t = &control_effects_add(c->fx, CE_TEXT)->u.text;
 
@@ -281,7 +281,7 @@
 }
 
 static void
-read_config(struct control *c, const struct cev_read *r)
+reply_config(struct control *c, const struct cev_read *r)
 {
     uint64_t version = r->version != 0 ? r->version : c->fsm.version;
     const struct rec_publication *p = fsm_publication(&c->fsm, version);
@@ -297,7 +297,7 @@
         return;
     }
     answer = reply(c, r->request, CONTROL_OK, "");
-    attach(answer, p);
+    attach_publication(answer, p);
     answer->config = blob_ref(config);
     if (answer->config == NULL) {
         answer->config = blob_new("", 0);
@@ -305,20 +305,20 @@
 }
 
 static void
-answer_read(struct control *c, const struct cev_read *r)
+reply_read(struct control *c, const struct cev_read *r)
 {
     switch (r->kind) {
     case READ_CONFIG:
-        read_config(c, r);
+        reply_config(c, r);
         break;
     case READ_HISTORY:
-        text(c, r->request, control_history_json(c, r->limit));
+        reply_text(c, r->request, control_history_json(c, r->limit));
         break;
     case READ_STATUS:
-        text(c, r->request, control_status_json(c));
+        reply_text(c, r->request, control_status_json(c));
         break;
     default:
-        text(c, r->request, control_state_json(c));
+        reply_text(c, r->request, control_state_json(c));
         break;
     }
 }
@@ -329,7 +329,7 @@
  * the first of the own term is.  Reads that come close together share a round:
  * anybody may read, and must not make the leader send as often as he asks. */
 static void
-await_round(struct control *c, struct pending *p)
+wait_for_round(struct control *c, struct pending_request *p)
 {
     p->wait_index = c->commit_index > c->term_start_index
                         ? c->commit_index
@@ -346,16 +346,16 @@
 void
 serve_read(struct control *c, const struct cev_read *r)
 {
-    struct pending *p;
+    struct pending_request *p;
 
     if (r->local || r->kind == READ_STATE ||
         (c->opts.breaks[CONTROL_BREAK_READ_WITHOUT_ROUND] &&
          c->role == CONTROL_LEADER)) {
-        answer_read(c, r);
+        reply_read(c, r);
         return;
     }
     if (c->role != CONTROL_LEADER) {
-        send_elsewhere(c, r->request);
+        redirect_to_leader(c, r->request);
         return;
     }
     p = add_pending(c, PENDING_READ, r->request);
@@ -364,14 +364,14 @@
         return;
     }
     p->read = *r;
-    await_round(c, p);
+    wait_for_round(c, p);
 }
 
 void
 serve_on_read_index(struct control *c, struct name from,
                     const struct rec_read_index *r)
 {
-    struct pending *p;
+    struct pending_request *p;
 
     if (c->role != CONTROL_LEADER || quorum_find_member(c, from) == NULL) {
         return;
@@ -382,7 +382,7 @@
     }
     p->from = from;
     p->nonce = r->nonce;
-    await_round(c, p);
+    wait_for_round(c, p);
 }
 
 void
@@ -396,12 +396,12 @@
 }
 
 static void
-answer_confirmed(struct control *c, const struct pending *p)
+reply_confirmed(struct control *c, const struct pending_request *p)
 {
     struct msg m = {.kind = MSG_READ_REPLY};
 
     if (p->kind == PENDING_READ) {
-        answer_read(c, &p->read);
+        reply_read(c, &p->read);
         return;
     }
     m.u.read_reply.nonce = p->nonce;
@@ -411,7 +411,8 @@
 
 /* Answers what can be: true when the request is done with. */
 static bool
-settle(struct control *c, const struct pending *p, uint64_t round)
+resolve_pending(struct control *c, const struct pending_request *p,
+                uint64_t round)
 {
     if (p->kind == PENDING_ENTRY) {
         /* Its entry is behind a snapshot that came in its place. */
@@ -425,14 +426,14 @@
     }
     if (c->role != CONTROL_LEADER || c->now.mono_us >= p->deadline_us) {
         if (p->kind == PENDING_READ) {
-            send_elsewhere(c, p->request_id);
+            redirect_to_leader(c, p->request_id);
         }
         return true;
     }
     if (p->round > round || p->wait_index > c->applied_index) {
         return false;
     }
-    answer_confirmed(c, p);
+    reply_confirmed(c, p);
     return true;
 }
 
@@ -446,10 +447,10 @@
     }
     round = quorum_acked_round(c);
     for (size_t i = c->n_pending; i > 0; i--) {
-        struct pending p = c->pending[i - 1];
+        struct pending_request p = c->pending[i - 1];
 
-        if (settle(c, &p, round)) {
-            drop_pending(c, i - 1);
+        if (resolve_pending(c, &p, round)) {
+            remove_pending(c, i - 1);
         }
     }
 }
@@ -460,7 +461,7 @@
     for (size_t i = c->n_pending; i > 0; i--) {
         if (c->pending[i - 1].request_id == request &&
             c->pending[i - 1].kind != PENDING_READ_INDEX) {
-            drop_pending(c, i - 1);
+            remove_pending(c, i - 1);
         }
     }
 }
