--- a/src/apply.c
+++ b/src/apply.c
@@ -75,7 +75,8 @@
     }
     else {
         control_log(c, LOG_ERR, CONTROL_REASON_BAD_ENTRY, c->opts.self,
-                    "entry %llu is ignored", (unsigned long long)e->index);
+                    "entry %llu is invalid and ignored",
+                    (unsigned long long)e->index);
     }
     msg_free(&m);
 }
--- a/src/config_sync.c
+++ b/src/config_sync.c
@@ -317,7 +317,7 @@
     f->need_whole_text = text == NULL;
     if (text == NULL) {
         entry_log(e, LOG_WARNING, REASON_BAD_MESSAGE, NULL, -1, name_of(""),
-                  "the change to version %llu does not fit version %llu",
+                  "delta to version %llu does not apply to version %llu",
                   (unsigned long long)m->version,
                   (unsigned long long)f->version);
         return;
--- a/src/control.c
+++ b/src/control.c
@@ -274,11 +274,11 @@
                      const struct msg *m)
 {
     if (!is_member(c, from)) {
-        return "is no member";
+        return "sender is not a member";
     }
     if (message_term(m) > c->term &&
         message_term(m) - c->term > TERM_JUMP_MAX) {
-        return "claims an impossible term";
+        return "term is implausibly high";
     }
     return NULL;
 }
@@ -335,7 +335,7 @@
 static void
 on_message(struct control *c, struct name from, const struct msg *m)
 {
-    const char *fault = "has no business here";
+    const char *fault = "not accepted by a control member";
 
     if (m->kind == MSG_CONFIG_REQUEST) {
         followers_on_request(c, from, &m->u.config_request);
@@ -429,7 +429,7 @@
     c->quorum_check_us = c->now.mono_us + c->opts.election_timeout_us;
     if (!quorum_is_active(c, c->now.mono_us - c->opts.election_timeout_us)) {
         control_log(c, LOG_WARNING, CONTROL_REASON_NO_QUORUM, c->opts.self,
-                    "no majority in %lld ms",
+                    "no majority heard for %lld ms",
                     (long long)(c->opts.election_timeout_us / USEC_PER_MSEC));
         election_become_follower(c, c->term, name_of(""));
     }
--- a/src/election.c
+++ b/src/election.c
@@ -164,7 +164,7 @@
 election_campaign_above(struct control *c, uint64_t term)
 {
     control_log(c, LOG_WARNING, CONTROL_REASON_HIGHER_TERM, c->opts.self,
-                "%llu is above %llu", (unsigned long long)term,
+                "term %llu is above our term %llu", (unsigned long long)term,
                 (unsigned long long)c->term);
     campaign(c, false, true, term + 1);
 }
@@ -184,7 +184,7 @@
 
     if (suspect) {
         control_log(c, LOG_WARNING, CONTROL_REASON_FOUNDED, from,
-                    "no vote from an empty folder; was its disk lost?");
+                    "no vote: the data folder is empty, was its disk lost?");
     }
     return suspect;
 }
--- a/src/receive.c
+++ b/src/receive.c
@@ -33,7 +33,8 @@
     }
     if (term == c->term && c->role == CONTROL_LEADER) {
         control_log(c, LOG_CRIT, CONTROL_REASON_BAD_MESSAGE, from,
-                    "leads in our own term %llu", (unsigned long long)term);
+                    "claims to lead our own term %llu",
+                    (unsigned long long)term);
         return false;
     }
     election_become_follower(c, term, from);
@@ -81,7 +82,7 @@
     t->index = index;
     c->needs_sync = true;
     control_log(c, LOG_NOTICE, CONTROL_REASON_CUT, c->leader,
-                "entries %llu to %llu were never committed",
+                "dropped uncommitted entries %llu to %llu",
                 (unsigned long long)index,
                 (unsigned long long)clog_last(&c->log));
     clog_cut(&c->log, index);
@@ -166,7 +167,7 @@
     }
     if (match > c->log.base && !merge_entries(c, a)) {
         control_log(c, LOG_CRIT, CONTROL_REASON_BAD_ENTRY, from,
-                    "contradicts what is committed here");
+                    "append conflicts with a committed entry");
         return;
     }
     update_commit(c, a->commit, match);
@@ -244,7 +245,7 @@
     if (state == NULL || !fsm_decode(&c->fsm, state, &index, &term) ||
         index != in->index || term != in->term) {
         control_log(c, LOG_ERR, CONTROL_REASON_BAD_MESSAGE, from,
-                    "snapshot cannot be read");
+                    "snapshot cannot be decoded");
         blob_unref(state);
         return false;
     }
--- a/src/replicate.c
+++ b/src/replicate.c
@@ -267,7 +267,7 @@
     if (p->disk != disk) {
         if (m != NULL && m->voter != 0 && m->disk != disk) {
             control_log(c, LOG_WARNING, CONTROL_REASON_OTHER_DISK, from,
-                        "no vote until it is replaced");
+                        "vote not counted until the member is replaced");
         }
         reset_progress(c, p);
         p->disk = disk;
