--- a/src/apply.c
+++ b/src/apply.c
@@ -1,3 +1,6 @@
+/*
+ * Applies committed entries to the replicated state, and makes snapshots.
+ */
 #include <string.h>
 #include <syslog.h>
 
--- a/src/config_sync.c
+++ b/src/config_sync.c
@@ -8,48 +8,50 @@
 #include "servicefile.h"
 #include "textpack.h"
 
-enum { CONTROLS_COUNTED_MAX = 64 }; /* told apart when counting replies */
-
-#define POLL_US (5 * USEC_PER_SEC)     /* the longest a server holds one */
-#define RETRY_US (500 * USEC_PER_MSEC) /* before another server is asked */
-#define POLL_PAUSE_US                                                         \
-    (50 * USEC_PER_MSEC) /* between polls that came back empty                \
-                          */
-#define START_WAIT_US (1 * USEC_PER_SEC) /* for a majority of control */
-#define LAG_LIMIT_US                                                          \
-    (1 * USEC_PER_SEC) /* behind a member before it is asked */
-#define FETCH_RETRY_US (2 * USEC_PER_SEC) /* for the first text to come */
-
-/* A follower that waits here for something newer. */
+/* Replies of further control processes do not count towards the majority. */
+enum { CONTROLS_COUNTED_MAX = 64 };
+
+/* A long poll is answered after this at the latest. */
+#define POLL_US (5 * USEC_PER_SEC)
+/* Added to POLL_US before another server is polled; also between requests
+ * while no configuration is in force. */
+#define RETRY_US (500 * USEC_PER_MSEC)
+/* Between a reply and the next poll. */
+#define POLL_PAUSE_US (50 * USEC_PER_MSEC)
+/* Longest wait after a start for replies from a majority of control. */
+#define START_WAIT_US (1 * USEC_PER_SEC)
+/* Time behind another member before its text is requested. */
+#define LAG_LIMIT_US (1 * USEC_PER_SEC)
+/* Before the first text is requested again. */
+#define FETCH_RETRY_US (2 * USEC_PER_SEC)
+
+/* A long poll of another instance that is open here. */
 struct poll {
     struct name from;
-    uint64_t have_version;
-    uint64_t known_version; /* answered with one above it */
-    int64_t deadline_us;
-    bool has_text;
-    bool version_only;
+    uint64_t have_version;  /* of the text that the instance has */
+    uint64_t known_version; /* answered once a version above this one exists */
+    int64_t deadline_us;    /* deadline of the answer, monotonic */
+    bool has_text;          /* can apply a delta */
+    bool version_only;      /* wants the version number without the text */
 };
 
 struct config_sync {
     uint64_t version; /* newest text received */
     uint64_t term;
     struct blob *text;
-    uint64_t old_version; /* the one before, to send changes against */
+    uint64_t old_version; /* the version before, as base of deltas */
     struct blob *old_text;
-    size_t control_index; /* asked last */
-    bool awaiting_reply;  /* the server asked last has not replied */
-    bool need_whole_text; /* a change did not fit: ask for the whole text */
-    int64_t poll_due_us;
-    int64_t started_us;
-    uint64_t replied_set; /* control processes that replied since the start */
-    uint64_t
-        announced_version; /* newest that any told of, until one is in force */
+    size_t control_index;       /* index of the control process polled last */
+    bool awaiting_reply;        /* the server polled last has not replied */
+    bool need_whole_text;       /* a delta failed: request the whole text */
+    int64_t poll_due_us;        /* next poll */
+    int64_t started_us;         /* first requests to control were sent */
+    uint64_t replied_set;       /* bit set of control processes that replied */
+    uint64_t announced_version; /* newest one; 0 after a text request */
     struct name announced_by;
-    int64_t next_fetch_us; /* no text is asked for again before */
-    int64_t
-        behind_since_us; /* since when a member has a newer version; 0: none */
-    uint64_t
-        reported_sum; /* sum of the versions told to control of our zone */
+    int64_t next_fetch_us;   /* the first text is not requested before */
+    int64_t behind_since_us; /* a member has a newer version; 0: none has */
+    uint64_t reported_sum;   /* sum of the zone's versions sent to control */
     struct served_texts served;
     struct poll polls[INSTANCES_MAX];
     size_t n_polls;
@@ -78,7 +80,7 @@
     }
 }
 
-/* ---- asking ---- */
+/* ---- requests to servers: control processes or other instances ---- */
 
 static bool
 in_our_zone(const struct entry *e, const struct member *m)
@@ -86,8 +88,8 @@
     return !m->self && m->up && name_equal(m->zone, e->zone);
 }
 
-/* What the others of our zone have in force, for control's status: they poll
- * here, so that control hears of them from nobody else. */
+/* Adds the versions in force at the zone's other instances, for control's
+ * status: they poll this instance, so control has no other report of them. */
 static void
 add_zone_versions(struct entry *e, struct rec_config_request *r)
 {
@@ -141,8 +143,8 @@
     send_request(e, server, true);
 }
 
-/* The first member of our zone that is up and stays: it asks across zones
- * for all of them. */
+/* Finds the instance that polls control for the zone: the first that is up and
+ * not stopping.  Returns true if that is another instance than this one. */
 static bool
 zone_poller(const struct entry *e, struct name *out)
 {
@@ -158,7 +160,7 @@
     return false;
 }
 
-/* The member with the newest version in force, if that is above ours. */
+/* The member with the newest version in force if it is above ours, or NULL. */
 static const struct member *
 newest_member(const struct entry *e)
 {
@@ -176,11 +178,12 @@
     return best;
 }
 
-/* Nothing in force yet: every control process and, from the second time on,
- * the whole zone is asked which version it has.  One control process alone may
- * sit behind a partition with an old log, and what it has could be older than
- * what this instance had in force before it restarted.  The text of each of
- * them would fill a slow link, again with each question. */
+/* Used while no configuration is in force.  Requests the version of every
+ * control process and, from the second round on, of the zone's instances.  A
+ * single control process may be partitioned with an old log, and its version
+ * could be older than the one in force here before the restart.  Only versions
+ * are requested: a copy of the text from each server, in each round, would
+ * saturate a slow link. */
 static void
 poll_all_versions(struct entry *e)
 {
@@ -217,7 +220,7 @@
     f->poll_due_us = e->now.mono_us + POLL_US + RETRY_US;
 }
 
-/* ---- what came ---- */
+/* ---- replies ---- */
 
 static int
 control_index_of(const struct entry *e, struct name from)
@@ -261,8 +264,8 @@
     return replied > e->opts.n_controls / 2;
 }
 
-/* The first version after a start waits for a majority of control, or for
- * some time. */
+/* After a start, the first version is applied once a majority of control has
+ * replied, or after START_WAIT_US. */
 static bool
 may_apply_first(const struct entry *e)
 {
@@ -281,10 +284,13 @@
     }
     poll_text(e, f->announced_by);
     f->next_fetch_us = e->now.mono_us + FETCH_RETRY_US;
-    f->announced_version = 0; /* who does not send it may be silent by now */
+    /* The server may not answer, so the next announcement decides which server
+     * is asked next. */
+    f->announced_version = 0;
 }
 
-/* The first version is none that a member is known to be past. */
+/* Applies the newest text if its version is above the one in force.  The first
+ * version after a start must not be below that of another member. */
 static void
 apply_if_newer(struct entry *e)
 {
@@ -346,7 +352,7 @@
         f->replied_set |= UINT64_C(1) << control;
     }
     if (e->config != NULL) {
-        f->awaiting_reply = false; /* this server lives: stay with it */
+        f->awaiting_reply = false; /* keep polling this server */
         f->poll_due_us = e->now.mono_us + POLL_PAUSE_US;
     }
     if (m->version > f->announced_version) {
@@ -360,7 +366,7 @@
     apply_if_newer(e);
 }
 
-/* ---- serving ---- */
+/* ---- requests from other instances ---- */
 
 static void
 send_reply(struct entry *e, struct name to, bool newer, uint64_t have,
@@ -421,8 +427,7 @@
     add_poll(e, from, m);
 }
 
-/* Answers the held polls that something newer came for, or whose time is
- * over. */
+/* Answers the open polls for which a newer version exists, or that expired. */
 static void
 answer_polls(struct entry *e)
 {
@@ -455,10 +460,11 @@
     on_reply(e, from, &m->u.config_reply);
 }
 
-/* ---- time ---- */
+/* ---- timers ---- */
 
-/* A poll's reply may be lost, or its server lag behind.  Heartbeats tell the
- * versions of all; whoever is behind for a while asks a member that is not. */
+/* A reply to a poll may be lost, or the polled server be behind.  Heartbeats
+ * carry each member's version; an instance that stays behind for LAG_LIMIT_US
+ * requests the text from a member with a newer version. */
 static void
 catch_up(struct entry *e)
 {
@@ -478,9 +484,9 @@
     }
 }
 
-/* An operator waits until a change is in force everywhere.  Told only with the
- * next poll, control's status would be late by as long as a poll is held, and
- * the operator would see instances lag that do not. */
+/* Polls control at once when a version in the zone changes.  Reported with the
+ * next regular poll, control's status would be late by up to POLL_US, and an
+ * operator who waits for a change would see instances behind that are not. */
 static void
 report_zone_changes(struct entry *e)
 {
--- a/src/config_sync.h
+++ b/src/config_sync.h
@@ -1,9 +1,10 @@
 /**
- * DOC: config_sync - keeps up with the configuration in force
+ * DOC: config_sync - keeps the configuration of an entry instance up to date
  *
- * One instance per zone long-polls a control process across zones, the others
- * poll it.  A restarted instance asks control first, then its zone's peers.
- * Only a version above the one in force is applied.
+ * One instance per availability zone long-polls a control process; the other
+ * instances of the zone poll that instance.  After a restart an instance asks
+ * all control processes for their version, and then also the instances of its
+ * zone.  Only a version above the one in force is applied.
  */
 #ifndef BM_CONFIG_SYNC_H
 #define BM_CONFIG_SYNC_H
@@ -13,10 +14,12 @@
 struct config_sync *config_sync_new(const struct entry *e);
 void config_sync_free(struct config_sync *f);
 
-/** config_sync_on_message() - CONFIG_REQUEST and CONFIG_REPLY */
+/** config_sync_on_message() - handles CONFIG_REQUEST and CONFIG_REPLY */
 void config_sync_on_message(struct entry *e, struct name from,
                             const struct msg *m);
 void config_sync_tick(struct entry *e);
+
+/** config_sync_next_us() - monotonic time of the next config_sync_tick() */
 int64_t config_sync_next_us(const struct entry *e);
 
 #endif
--- a/src/control.c
+++ b/src/control.c
@@ -9,6 +9,7 @@
 
 #include "control_state.h"
 
+/* A message with a term further above our own is rejected as corrupted. */
 #define TERM_JUMP_MAX (UINT64_C(1) << 32)
 
 struct control_options
@@ -94,9 +95,9 @@
     c->counters.messages_sent++;
 }
 
-/* A vote or a confirmation that leaves before it is on the disk is forgotten
- * by a power loss, but not by whoever received it: two leaders in one term, or
- * an accepted change that is gone.  So it waits for its sync. */
+/* Votes and acknowledgements are sent only after the state they refer to is
+ * durable.  Otherwise a power loss could erase a vote or an entry that another
+ * member already counts: two leaders in one term, or a lost change. */
 void
 control_send(struct control *c, struct name to, struct msg *m, uint64_t seq)
 {
@@ -244,7 +245,7 @@
     return quorum_find_member(c, from) != NULL || enroll_is_contact(c, from);
 }
 
-/* The term a message claims; 0 where it has none. */
+/* The sender's term; 0 for kinds without a term. */
 static uint64_t
 message_term(const struct msg *m)
 {
@@ -266,9 +267,9 @@
     }
 }
 
-/* A message from an entry instance, or one that was garbled on its way, must
- * not move the term: it would be saved, spread to all members, and near its
- * largest value no election could be held any more. */
+/* A message from a process that is no member, or one corrupted in transit,
+ * must not raise the term: the term is saved and spreads to all members, and
+ * near UINT64_MAX no further election would be possible. */
 static const char *
 check_member_message(const struct control *c, struct name from,
                      const struct msg *m)
@@ -388,8 +389,9 @@
     return best;
 }
 
-/* Asks the most advanced voter to take over.  Without it, a planned stop of
- * the leader would cost an election timeout without publications. */
+/* Transfers leadership to the voter with the highest match index.  Without the
+ * transfer, a planned stop of the leader would block publications for an
+ * election timeout. */
 static void
 transfer_leadership(struct control *c)
 {
@@ -539,8 +541,9 @@
     election_reset_timer(c);
     if (c->opts.startup_timeout_us > 0) {
         election_reset_startup_timer(c);
-        /* It has heard nobody in this life; to wait as if it had would only
-         * hold up the first election.  Reads rest on no such wait. */
+        /* No leader was heard since the start, so voting need not wait for an
+         * election timeout: that would delay the first election.  Reads do not
+         * depend on the wait, since they use read index, not leader leases. */
         c->leader_heard_us -= c->opts.election_timeout_us;
     }
     c->startup_nonce = control_random(c);
--- a/src/control.h
+++ b/src/control.h
@@ -1,12 +1,13 @@
 /**
  * DOC: control - the reducer of a control member
  *
- * The replicated log of accepted configuration.  control_step() takes one
- * event and appends effects; it reads no clock, does no I/O and draws no
- * randomness but from its seed.  Nothing is confirmed before the sync it
- * depends on is reported by SAVED.  The protocol follows Raft (Ongaro and
- * Ousterhout, 2014) with pre-vote, check-quorum, changes of one member at a
- * time and reads by a round of heartbeats.
+ * Replicates the log of accepted configurations.  control_step() takes one
+ * event and appends effects; it reads no clock, does no I/O, and uses no
+ * randomness except a generator with a given seed.  A message that confirms
+ * state on disk is sent only after CEV_SAVED has reported the sync of that
+ * state.  The protocol is Raft (Ongaro and Ousterhout, 2014) with pre-vote,
+ * check-quorum, membership changes of one member at a time, and read index
+ * (reads confirmed by a round of heartbeats).
  */
 #ifndef BM_CONTROL_H
 #define BM_CONTROL_H
@@ -20,8 +21,8 @@
 
 struct control;
 
-/* Wrong decisions, switched on by tests of the checks alone:
- * CONTROL_BREAK(NAME, what it does). */
+/* Faults that tests inject to prove that the checks find them:
+ * CONTROL_BREAK(NAME, what the faulty member does). */
 /* clang-format off */
 #define CONTROL_BREAK_LIST(CONTROL_BREAK)                                     \
     CONTROL_BREAK(ACK_BEFORE_SYNC, "counts entries before their sync")        \
@@ -44,38 +45,44 @@
 };
 
 /**
- * struct control_options - how to construct a control member
- * @self: its name
- * @zone: told to followers; may be empty
- * @disk: identity of its data folder; it votes only where the members say that
- *        this is the folder of @self
- * @configured: members of the settings; besides those of the log, only they
- * are listened to as members
- * @n_configured: of @configured, at most CONTROL_MEMBERS_MAX
- * @seed: for election times; differs at each start
- * @election_timeout_us: silence after which a follower campaigns, up to twice
- * that; a leader that hears no quorum for so long steps down
- * @startup_timeout_us: a member that starts campaigns after so long without a
- * leader, up to twice that, and asks again after the same until it has met
- * one; 0: like any other.  Where a leader is there, the question before the
- * campaign finds that out.
- * @heartbeat_interval_us: between heartbeats
+ * struct control_options - options of a control member
+ * @self: name of this member
+ * @zone: availability zone, sent to followers; may be empty
+ * @disk: identity of the data folder; this member votes only if the membership
+ *        records this folder for @self
+ * @configured: members listed in the settings; messages between members are
+ *              accepted from these and from the members in the log
+ * @n_configured: number of @configured, at most CONTROL_MEMBERS_MAX
+ * @seed: of the random election timeouts; differs at each start
+ * @election_timeout_us: a follower campaigns after a random time from one to
+ *                       two of these without a leader; a leader that does not
+ *                       hear a majority for this long steps down
+ * @startup_timeout_us: election timeout until the first leader is seen after a
+ *                      start, shorter than @election_timeout_us, so that a
+ *                      region whose members all start soon has a leader; 0:
+ *                      use @election_timeout_us.  A leader that exists is not
+ *                      deposed, since the pre-vote fails then.
+ * @heartbeat_interval_us: interval of heartbeats
  * @poll_timeout_us: a long poll is answered after this at the latest
- * @follower_timeout_us: a follower not heard for so long is forgotten
+ * @follower_timeout_us: a follower silent for this long is dropped
  * @request_timeout_us: a publication not committed by then is answered as
- * unknown
- * @stop_timeout_us: a planned stop takes no longer
- * @enroll: members come and go by themselves, see enroll.c; else by CHANGE
+ *                      unknown
+ * @stop_timeout_us: longest duration of a planned shutdown
+ * @enroll: members are added and removed automatically, see enroll.c; else
+ *          only by CEV_CHANGE
  * @address: with @enroll, where other members reach this one
- * @http: with @enroll, where operators reach it
- * @remove_timeout_us: with @enroll, a member silent for so long may be removed
- * @snapshot_entries: entries applied since the last snapshot that make one
- * @snapshot_bytes: or their bytes
+ * @http: with @enroll, where operators reach this member
+ * @remove_timeout_us: with @enroll, a member silent for this long may be
+ *                     removed
+ * @snapshot_entries: make a snapshot after this many applied entries
+ * @snapshot_bytes: or after this many bytes of entries
  * @log_tail_entries: entries kept in memory behind a snapshot for slow members
  * @snapshot_chunk_bytes: bytes of a snapshot in one message
  * @append_batch_bytes: bytes of entries in one message
- * @render: what followers get of a published text; NULL: the text itself
- * @limits: what is kept of the history
+ * @render: converts a published text to the one served to followers; NULL:
+ *          the published text is served
+ * @limits: of the history
+ * @breaks: injected faults, for tests
  */
 struct control_options {
     struct name self;
@@ -108,19 +115,21 @@
 /** control_options_default() - every field but self, disk and seed */
 struct control_options control_options_default(void);
 
-/** control_founding_disk() - identity of a founding member's data folder; the
- * founders know each other's without having met */
+/** control_founding_disk() - identity of a founding member's data folder,
+ * derived from both names: founding members can list each other's folders
+ * before they have exchanged messages */
 uint64_t control_founding_disk(struct name region, struct name member);
 
-/** control_founding_state() - the snapshot that founders start from */
+/** control_founding_state() - the snapshot that all founding members start
+ * with; the caller owns the reference */
 struct blob *control_founding_state(const struct rec_membership *m);
 
 /**
- * struct control_recovery - where a member begins anew
- * @index: of the snapshot, above all that the disk held
- * @term: of it, likewise
- * @state: the snapshot; owned
- * @version: that its text has from now on
+ * struct control_recovery - state of a member that was recovered alone
+ * @index: index of the snapshot, above that of any entry on the disk
+ * @term: term of the snapshot, above any term on the disk
+ * @state: the snapshot; owned reference
+ * @version: new version of the recovered text
  */
 struct control_recovery {
     uint64_t index;
@@ -129,16 +138,21 @@
     uint64_t version;
 };
 
-/** control_recover() - for when a majority of the members has lost its disks:
- * all that one disk held, committed or not, as the state of a region whose
- * only member is @self; false when the snapshot cannot be read */
+/** control_recover() - rebuilds the state of a region from the disk of one
+ * member after a majority of the members lost theirs
+ * @found: what the disk holds; all entries are applied, committed or not
+ * @self: becomes the only member
+ * @time_us: wall clock, recorded in the history
+ * @out: the result
+ *
+ * Returns false when the snapshot cannot be read. */
 bool control_recover(const struct storage_found *found,
                      const struct rec_control_member *self, uint64_t time_us,
                      struct control_recovery *out);
 
 enum { CONTROL_FOUNDING_INDEX = 1, CONTROL_FOUNDING_TERM = 1 };
 
-/** control_new() - a member that starts with what its disk held; NULL when the
+/** control_new() - creates a member from the state on its disk; NULL when the
  * snapshot cannot be read */
 struct control *control_new(const struct control_options *o,
                             const struct storage_found *found);
@@ -155,7 +169,7 @@
 
 enum control_role { CONTROL_FOLLOWER, CONTROL_CANDIDATE, CONTROL_LEADER };
 
-/* Counters: CONTROL_COUNTER(name, help).  All only rise. */
+/* Counters, monotonic: CONTROL_COUNTER(name, help). */
 /* clang-format off */
 #define CONTROL_COUNTER_LIST(CONTROL_COUNTER)                                 \
     CONTROL_COUNTER(published, "publications accepted, applied here")         \
@@ -178,7 +192,7 @@
 #undef CONTROL_COUNTER
 };
 
-/** struct control_view - what can be seen of a member */
+/** struct control_view - state of a member for metrics, status and tests */
 struct control_view {
     struct histogram
         publish_latency; /* from an operator's change to its answer */
@@ -186,25 +200,25 @@
     bool voter;
     struct name leader; /* empty: not known */
     uint64_t term;
-    uint64_t log_base; /* index before the log in memory */
-    uint64_t last_index;
+    uint64_t log_base;   /* index before the first entry in memory */
+    uint64_t last_index; /* index of the last entry */
     uint64_t commit_index;
     uint64_t applied_index;
     uint64_t version;
     uint64_t log_bytes;
     uint64_t state_bytes;
     uint64_t followers;
-    bool serving; /* answers followers */
+    bool serving; /* answers polls of followers */
     struct control_counters counters;
 };
 
 struct control_view control_view(const struct control *c);
 
-/** control_entry() - the entry at @index, or NULL; for checks */
+/** control_entry() - the entry at @index, or NULL; for tests */
 const struct rec_log_entry *control_entry(const struct control *c,
                                           uint64_t index);
 
-/** control_fsm() - the replicated state; for checks */
+/** control_fsm() - the replicated state; for tests */
 const struct fsm *control_fsm(const struct control *c);
 
 #endif
--- a/src/control_effect.h
+++ b/src/control_effect.h
@@ -1,9 +1,9 @@
 /**
- * DOC: control_effect - what a control member decides to do, as data
+ * DOC: control_effect - outputs of control_step(), carried out by the caller
  *
- * Effects on the disk are carried out in order, apart from the others; the
- * shell reports with SAVED that all of them up to a SYNC are durable.  Several
- * SYNCs may be met by one (group commit).  Effects own what they point to.
+ * Disk effects are carried out in order by a thread of their own.  CEV_SAVED
+ * reports that all disk effects up to a CE_SYNC are durable; one fsync may
+ * cover several CE_SYNC (group commit).  Effects own what they point to.
  */
 #ifndef BM_CONTROL_EFFECT_H
 #define BM_CONTROL_EFFECT_H
@@ -14,18 +14,18 @@
 /* CONTROL_EFFECT(NAME, member of the union, what to do) */
 /* clang-format off */
 #define CONTROL_EFFECT_LIST(CONTROL_EFFECT)                                   \
-    CONTROL_EFFECT(APPEND, append, "disk: add entries to the log")            \
-    CONTROL_EFFECT(TRUNCATE, truncate, "disk: drop the tail of the log")      \
-    CONTROL_EFFECT(SAVE_VOTE, vote, "disk: term and vote")                    \
-    CONTROL_EFFECT(SNAPSHOT, snapshot, "disk: a snapshot")                    \
-    CONTROL_EFFECT(SAVE_UPSTREAMS, upstreams, "disk: the upstreams known")    \
-    CONTROL_EFFECT(SYNC, sync, "disk: make all before durable, then tell")    \
+    CONTROL_EFFECT(APPEND, append, "disk: append entries to the log")         \
+    CONTROL_EFFECT(TRUNCATE, truncate, "disk: truncate the log")              \
+    CONTROL_EFFECT(SAVE_VOTE, vote, "disk: save term and vote")               \
+    CONTROL_EFFECT(SNAPSHOT, snapshot, "disk: save a snapshot")               \
+    CONTROL_EFFECT(SAVE_UPSTREAMS, upstreams, "disk: save known upstreams")   \
+    CONTROL_EFFECT(SYNC, sync, "disk: sync, then report CEV_SAVED")           \
     CONTROL_EFFECT(SEND, send, "send a message to a process")                 \
     CONTROL_EFFECT(REPLY, reply, "answer an operator")                        \
     CONTROL_EFFECT(TEXT, text, "answer an operator with JSON text")           \
-    CONTROL_EFFECT(MEMBERS, members, "these are the members from now on")     \
+    CONTROL_EFFECT(MEMBERS, members, "the membership has changed")            \
     CONTROL_EFFECT(LOG, log, "log a decision")                                \
-    CONTROL_EFFECT(STOPPED, none, "nothing is in progress any more")
+    CONTROL_EFFECT(STOPPED, none, "the planned shutdown is complete")
 /* clang-format on */
 
 enum control_effect_kind {
@@ -72,7 +72,7 @@
     CONTROL_RESULTS,
 };
 
-/* Why something was logged: CONTROL_REASON(NAME, text). */
+/* Reason codes of log lines: CONTROL_REASON(NAME, text). */
 #define CONTROL_REASON_LIST(CONTROL_REASON)                                   \
     CONTROL_REASON(ELECTION, "election-started")                              \
     CONTROL_REASON(LEADING, "leader-elected")                                 \
@@ -110,22 +110,22 @@
 /** control_result_status() - the HTTP status */
 int control_result_status(enum control_result r);
 
-/** control_result_slug() - last part of the problem's type URI */
+/** control_result_slug() - last part of the type URI of a problem document */
 const char *control_result_slug(enum control_result r);
 
-/** control_result_title() - one line for people */
+/** control_result_title() - human-readable summary, one line */
 const char *control_result_title(enum control_result r);
 
-/** control_reason_text() - as it stands in logs */
+/** control_reason_text() - the reason code as written to logs */
 const char *control_reason_text(enum control_reason r);
 
 struct ce_append {
-    struct rec_log_entry *entries; /* owned, with a reference per data */
+    struct rec_log_entry *entries; /* owned, with a reference to each data */
     size_t n_entries;
 };
 
 struct ce_truncate {
-    uint64_t index; /* the first to go */
+    uint64_t index; /* first entry to remove */
 };
 
 struct ce_vote {
@@ -137,16 +137,17 @@
     uint64_t index;
     uint64_t term;
     struct blob *state; /* owned reference */
-    bool discard;       /* the log behind it goes, too */
+    bool discard;       /* also drop the log entries after @index */
 };
 
-/** struct ce_upstreams - a hint for the next start; nothing waits for it */
+/** struct ce_upstreams - known upstreams, a hint for the next start; nothing
+ * waits for the write */
 struct ce_upstreams {
     struct msg report; /* MSG_UPSTREAM_REPORT, owned */
 };
 
 struct ce_sync {
-    uint64_t seq; /* comes back in SAVED */
+    uint64_t seq; /* returned in CEV_SAVED */
 };
 
 struct ce_send {
@@ -157,15 +158,16 @@
 /**
  * struct ce_reply - the answer to a publication, a change or a read of the
  * configuration
- * @request: it belongs to
- * @result: of it
- * @detail: for people; may be empty
- * @leader: of NOT_LEADER: where operators reach the leader
- * @version: in force
+ * @request: number of the request
+ * @result: outcome of the request
+ * @detail: human-readable cause; may be empty
+ * @leader: with CONTROL_NOT_LEADER: HTTP address of the leader
+ * @version: the version in force
  * @resend: the request id was accepted before
- * @publication: the publication accepted, read, or (of TAKEN) the winner;
- * version 0 if there is none; owned
- * @config: of a read; owned reference
+ * @publication: the publication that was accepted or read, or with
+ * CONTROL_TAKEN the one accepted from the same base; its kind is
+ * MSG_PUBLICATION only if there is one; owned
+ * @config: text of a read; owned reference
  */
 struct ce_reply {
     uint64_t request;
@@ -188,9 +190,9 @@
 };
 
 struct ce_log {
-    int severity; /* of syslog */
+    int severity; /* syslog level */
     enum control_reason reason;
-    struct name subject; /* may be empty */
+    struct name subject; /* process concerned; may be empty */
     char detail[DETAIL_SIZE];
 };
 
@@ -212,15 +214,15 @@
     } u;
 };
 
-/** struct control_effects - a growing list, reused from step to step */
+/** struct control_effects - growable list, reused in every step */
 struct control_effects {
     struct control_effect *items;
     size_t n;
     size_t capacity;
 };
 
-/** control_effects_add() - appends a zeroed effect; the pointer holds until
- * the next call.  Ends the process when memory is out. */
+/** control_effects_add() - appends a zeroed effect; the pointer is valid until
+ * the next call.  Aborts the process when memory runs out. */
 struct control_effect *control_effects_add(struct control_effects *fx,
                                            enum control_effect_kind kind);
 
@@ -230,10 +232,10 @@
 /** control_effects_clear() - releases and empties the list */
 void control_effects_clear(struct control_effects *fx);
 
-/** control_effects_free() - control_effects_clear() and the list itself */
+/** control_effects_free() - releases the effects and the list */
 void control_effects_free(struct control_effects *fx);
 
-/** control_effect_is_disk() - whether the disk's thread carries it out */
+/** control_effect_is_disk() - whether the disk thread carries it out */
 bool control_effect_is_disk(enum control_effect_kind kind);
 
 #endif
--- a/src/control_event.h
+++ b/src/control_event.h
@@ -1,8 +1,8 @@
 /**
- * DOC: control_event - everything that can happen to a control member
+ * DOC: control_event - inputs of control_step()
  *
- * An event lends its pointers for the length of one step.  Each carries the
- * time.
+ * Each event carries the current time.  The caller keeps ownership of what an
+ * event points to, and must keep it valid during the step.
  */
 #ifndef BM_CONTROL_EVENT_H
 #define BM_CONTROL_EVENT_H
@@ -15,13 +15,13 @@
 #define CONTROL_EVENT_LIST(CONTROL_EVENT)                                     \
     CONTROL_EVENT(TICK, none, "time has passed")                              \
     CONTROL_EVENT(MESSAGE, message, "a message from another process")         \
-    CONTROL_EVENT(SAVED, saved, "all before that sync is durable")            \
-    CONTROL_EVENT(PUBLISH, publish, "an operator publishes")                  \
-    CONTROL_EVENT(CHANGE, change, "an operator changes the members")          \
-    CONTROL_EVENT(READ, read, "somebody reads")                               \
-    CONTROL_EVENT(GONE, gone, "an HTTP request ended early")                  \
-    CONTROL_EVENT(CONTACT, contact, "a process that may be a member is named")\
-    CONTROL_EVENT(STOP, none, "a planned stop begins")
+    CONTROL_EVENT(SAVED, saved, "a sync is done")                             \
+    CONTROL_EVENT(PUBLISH, publish, "an operator publishes a configuration")  \
+    CONTROL_EVENT(CHANGE, change, "an operator changes the membership")       \
+    CONTROL_EVENT(READ, read, "an HTTP client reads")                         \
+    CONTROL_EVENT(GONE, gone, "an HTTP client disconnected before the answer")\
+    CONTROL_EVENT(CONTACT, contact, "a process that may be a member is found")\
+    CONTROL_EVENT(STOP, none, "a planned shutdown begins")
 /* clang-format on */
 
 enum control_event_kind {
@@ -31,10 +31,11 @@
         CONTROL_EVENT_KINDS,
 };
 
-/** enum change_action - what to do with a member */
+/** enum change_action - kind of membership change; CHANGE_REPLACE takes the
+ * vote of a member whose disk is lost until the new disk has caught up */
 enum change_action { CHANGE_ADD, CHANGE_REMOVE, CHANGE_REPLACE };
 
-/** enum read_kind - what a read is after */
+/** enum read_kind - what to read */
 enum read_kind { READ_CONFIG, READ_HISTORY, READ_STATUS, READ_STATE };
 
 struct cev_message {
@@ -43,11 +44,11 @@
 };
 
 struct cev_saved {
-    uint64_t seq; /* from CE_SYNC */
+    uint64_t seq; /* of the CE_SYNC that is done */
 };
 
 struct cev_publish {
-    uint64_t request;
+    uint64_t request; /* number that CE_REPLY refers to */
     struct name publisher;
     const char *request_id;
     uint64_t base_version;
@@ -60,16 +61,16 @@
     uint64_t request;
     enum change_action action;
     struct name member;
-    struct address address; /* of CHANGE_ADD: for members and followers */
-    struct address http;    /* of CHANGE_ADD: for operators */
+    struct address address; /* of CHANGE_ADD: of peer connections */
+    struct address http;    /* of CHANGE_ADD: of the HTTP server */
 };
 
 struct cev_read {
     uint64_t request;
     enum read_kind kind;
-    uint64_t version; /* of READ_CONFIG; 0 is the newest */
-    uint32_t limit;   /* of READ_HISTORY */
-    bool local;       /* as this member knows it, at once */
+    uint64_t version; /* of READ_CONFIG; 0: the newest */
+    uint32_t limit;   /* of READ_HISTORY, in publications */
+    bool local; /* answer at once from this member's state, maybe stale */
 };
 
 struct cev_disconnect {
--- a/src/control_recover.c
+++ b/src/control_recover.c
@@ -1,3 +1,6 @@
+/*
+ * Recovery of a region from the disk of one member, see control_recover().
+ */
 #include <string.h>
 
 #include "control.h"
@@ -17,6 +20,7 @@
     msg_free(&m);
 }
 
+/* Index and term above all that the disk holds. */
 static void
 set_position(const struct storage_found *found, struct control_recovery *out)
 {
--- a/src/control_request.h
+++ b/src/control_request.h
@@ -1,6 +1,6 @@
 /**
- * DOC: control_request - an operator's HTTP request as an event, and the
- * reducer's answer as an HTTP response
+ * DOC: control_request - converts HTTP requests to reducer events, and the
+ * reducer's answers to HTTP responses
  */
 #ifndef BM_CONTROL_REQUEST_H
 #define BM_CONTROL_REQUEST_H
@@ -8,7 +8,7 @@
 #include "control_effect.h"
 #include "control_mail.h"
 
-/* What can be asked: CONTROL_ROUTE(NAME, method, path). */
+/* HTTP routes: CONTROL_ROUTE(NAME, method, path). */
 /* clang-format off */
 #define CONTROL_ROUTE_LIST(CONTROL_ROUTE)                                     \
     CONTROL_ROUTE(PUBLISH, "POST", "/v1/config")                              \
@@ -25,31 +25,41 @@
 #define CONTROL_ROUTE(NAME, method, path) CONTROL_ROUTE_##NAME,
     CONTROL_ROUTE_LIST(CONTROL_ROUTE)
 #undef CONTROL_ROUTE
-        CONTROL_ROUTE_METHOD, /* the path exists, not with that method */
+        CONTROL_ROUTE_METHOD, /* the path exists, but not with this method */
     CONTROL_ROUTE_NONE,
 };
 
-/** control_route_find() - what is asked for */
+/** control_route_find() - the route of a request */
 enum control_route control_route_find(const char *method, const char *path);
 
-/** control_route_is_write() - whether it must be signed */
+/** control_route_is_write() - whether the route changes state, so that
+ * requests must be signed */
 bool control_route_is_write(enum control_route route);
 
-/** struct control_query - of the URL */
+/** struct control_query - parameters of the URL, see struct cev_read */
 struct control_query {
     uint64_t version;
     uint32_t limit;
     bool local;
 };
 
-/** struct control_rejection - why a request is refused before the reducer */
+/** struct control_rejection - why a request is rejected before it reaches the
+ * reducer */
 struct control_rejection {
     enum control_result result;
     char detail[DETAIL_SIZE];
 };
 
-/** control_request_parse() - the event of a request, numbered @id; NULL with
- * @why where the body is wrong */
+/** control_request_parse() - parses a request
+ * @route: of the request
+ * @query: parameters of the URL
+ * @publisher: name of the operator that signed the request
+ * @body: of the request; may be NULL
+ * @size: bytes of @body
+ * @id: request number that the answer refers to
+ * @why: set when the body is invalid
+ *
+ * Returns the event, owned by the caller; NULL when the body is invalid. */
 struct control_mail *control_request_parse(enum control_route route,
                                            const struct control_query *query,
                                            struct name publisher,
@@ -57,7 +67,14 @@
                                            uint64_t id,
                                            struct control_rejection *why);
 
-/** struct control_response - what goes out; @body is owned */
+/**
+ * struct control_response - an HTTP response
+ * @status: HTTP status
+ * @content_type: media type, static
+ * @body: owned
+ * @location: of a redirection; else empty
+ * @retry_after: send a Retry-After header
+ */
 struct control_response {
     int status;
     const char *content_type;
@@ -66,15 +83,15 @@
     bool retry_after;
 };
 
-/** control_response_from_effect() - of CE_REPLY or CE_TEXT; @path and @query
- * (with its
- * "?", or empty) make the Location of a redirection */
+/** control_response_from_effect() - the response for a CE_REPLY or CE_TEXT;
+ * @path and
+ * @query (with its "?", or empty) give the location of a redirection */
 struct control_response
 control_response_from_effect(enum control_route route,
                              const struct control_effect *f, const char *path,
                              const char *query);
 
-/** control_response_rejection() - a refusal by the shell */
+/** control_response_rejection() - the response to a rejected request */
 struct control_response
 control_response_rejection(const struct control_rejection *why);
 
--- a/src/election.c
+++ b/src/election.c
@@ -1,3 +1,7 @@
+/*
+ * Leader election (Raft 5.2 and 5.4.1), with pre-vote, leader stickiness and
+ * leadership transfer.
+ */
 #include <string.h>
 #include <syslog.h>
 
@@ -13,16 +17,16 @@
         c->now.mono_us + c->opts.election_timeout_us + (int64_t)jitter;
 }
 
-/* No leader was met in this life. */
+/* Whether no leader was seen since the process started. */
 static bool
 is_starting(const struct control *c)
 {
     return c->opts.startup_timeout_us > 0 && !c->seen_leader;
 }
 
-/* Before any leader was met in this life the question whether there would be
- * votes is asked again soon: after a power loss the others may have started
- * just after it was asked first. */
+/* Until a leader was seen since the start, the pre-vote is repeated soon:
+ * after a power loss of the region, the other members may have started just
+ * after the first requests were sent. */
 void
 election_reset_startup_timer(struct control *c)
 {
@@ -112,9 +116,9 @@
     become_leader(c);
 }
 
-/* The question whether there would be votes comes first and changes no term.
- * Otherwise a member that is cut off raises its term with every attempt, and
- * on its return deposes a leader that all others follow. */
+/* The pre-vote comes first and changes no term.  Without it, a partitioned
+ * member would raise its term with every campaign, and on its return depose a
+ * leader that all other members follow. */
 void
 election_tick(struct control *c)
 {
@@ -169,10 +173,10 @@
     campaign(c, false, true, term + 1);
 }
 
-/* A folder founded just now has nothing in it.  All founders' first logs are
- * alike; a candidate with more shows that the region has lived already, and
- * that this folder may stand for a disk that was lost and founded again by
- * mistake.  It then waits for a leader that was elected without it. */
+/* A folder without entries after the founding snapshot may belong to a disk
+ * that was lost, and that an operator founded again by mistake.  If the
+ * candidate's log is longer, the region has been in use, so this member gives
+ * no vote; it waits for a leader that is elected without it. */
 static bool
 may_be_founded_again(struct control *c, struct name from,
                      const struct rec_vote *v)
@@ -201,8 +205,8 @@
            (v->last_term == term && v->last_index >= clog_last(&c->log));
 }
 
-/* While the leader is heard, nobody else is elected: a member that alone does
- * not hear it must not cost the others their leader. */
+/* Vote requests are ignored while this member hears a leader: a single member
+ * that cannot hear the leader must not depose it. */
 static bool
 has_live_leader(const struct control *c, const struct rec_vote *v)
 {
@@ -213,9 +217,10 @@
            c->now.mono_us < c->leader_heard_us + c->opts.election_timeout_us;
 }
 
-/* Two that start together campaign together; where each votes for itself
- * neither wins, and until the next attempt nobody leads.  So of two whose
- * logs are alike, the one with the greater name lets the other go first. */
+/* Two members that start together campaign together; if each votes for itself,
+ * neither wins, and there is no leader until the next attempt.  So of two
+ * candidates with equal logs, the one with the smaller name refuses its
+ * pre-vote to the other. */
 static bool
 has_precedence(const struct control *c, struct name from,
                const struct rec_vote *v)
@@ -243,9 +248,9 @@
     control_send(c, to, &m, c->hard_state_seq);
 }
 
-/* Whoever said that it would vote for another waits for that one's campaign
- * with its own: three that start together would else vote for themselves.
- * Once only, for the answer may never arrive there. */
+/* A member that has granted a pre-vote postpones its own campaign, to let that
+ * candidate win: three members that start together would otherwise each vote
+ * for themselves.  Only once per start, since the reply may be lost. */
 static void
 yield_to_candidate(struct control *c)
 {
--- a/src/enroll.c
+++ b/src/enroll.c
@@ -1,12 +1,12 @@
 /*
- * Members that come and go by themselves.
+ * Automatic membership, without a list of members or an operator.
  *
- * Nobody lists them.  A process that hears no leader asks whoever it knows to
- * become a member; the leader adds it as a learner, and it gets a vote once it
- * has caught up.  A member that came back with another disk has forgotten what
- * it confirmed: the leader takes its vote away first and lets it learn anew.
- * One that is silent for long is removed while enough others have votes.
- * Every such step is a change of one member, committed like an operator's.
+ * A process that hears no leader sends MSG_JOIN to all processes it knows. The
+ * leader adds it as a learner and promotes it to voter once it has caught up.
+ * A member that comes back with another disk has lost what it confirmed: the
+ * leader takes its vote away, and promotes it again once it has caught up.  A
+ * member that stays silent is removed while enough other voters are up.  Each
+ * step changes one member and is committed like an operator's change.
  */
 #include <syslog.h>
 
@@ -14,9 +14,9 @@
 
 enum {
     JOIN_INTERVAL_US =
-        400 * 1000, /* between requests; a few fit into a start */
-    VOTERS_MIN = 3, /* that must be up before one is removed: below
-                     * that, the next loss would stop the log */
+        400 * 1000, /* between join requests: a few within a start */
+    VOTERS_MIN = 3, /* voters that must be up to remove a member: with
+                     * fewer, the next loss would end the majority */
 };
 
 bool
@@ -25,7 +25,7 @@
     if (!c->opts.enroll) {
         return false;
     }
-    /* Without members of its own, a new process listens to any leader. */
+    /* A new process without members accepts any leader. */
     if (c->members.n_members == 0) {
         return true;
     }
@@ -65,9 +65,9 @@
     }
 }
 
-/* A member that was removed while it was cut off does not know it: it has the
- * old members in its log and would wait for votes for ever.  So whoever hears
- * no leader asks, member or not. */
+/* Sends join requests while no leader is heard.  Members do so too: a member
+ * that was removed during a partition still has the old membership in its log,
+ * and would wait for votes forever. */
 static void
 join_if_leaderless(struct control *c)
 {
@@ -97,7 +97,7 @@
     }
     if (quorum_prepare_change(c, &change, &m.u.membership, &detail) !=
         CONTROL_OK) {
-        return; /* it is tried again at the next tick or request */
+        return; /* retried at the next tick or join request */
     }
     control_log(c, LOG_NOTICE, reason, member, "%zu members",
                 m.u.membership.n_members);
@@ -117,8 +117,9 @@
     control_send(c, to, &m, 0);
 }
 
-/* Its request is a sign of life: what was heard of it before it was removed is
- * old enough to remove it again before it can answer. */
+/* A join request counts as contact.  Otherwise the last contact would date
+ * from before the member's removal, and the member could be removed again
+ * before its first reply arrives. */
 static void
 record_contact(struct control *c, struct name name)
 {
@@ -167,8 +168,8 @@
     update->u.membership = membership_copy(m);
 }
 
-/* Since when the leader has heard nothing of a member; a new leader gives all
- * of them the same time. */
+/* Time since the last contact with a member; for a new leader, at most the
+ * time since its election. */
 static int64_t
 silent_us(const struct control *c, const struct progress *p)
 {
@@ -198,7 +199,7 @@
     return m->voter != 0 && p->disk != 0 && p->disk != m->disk;
 }
 
-/* One change at a time: the first that is due. */
+/* Proposes the first change that is due; only one can be in progress. */
 static void
 maintain_members(struct control *c)
 {
--- a/src/followers.c
+++ b/src/followers.c
@@ -1,3 +1,7 @@
+/*
+ * Configuration polls of entry instances (followers), and which version each
+ * instance has in force.
+ */
 #include <stdlib.h>
 #include <string.h>
 
@@ -5,12 +9,12 @@
 
 enum {
     FOLLOWERS_MAX = 1024,         /* entry instances known */
-    REPORT_US = 10 * 1000 * 1000, /* between reports without any change */
+    REPORT_US = 10 * 1000 * 1000, /* between reports without changes */
 };
 
-/* The place of a follower that was only reported, by others.  Whatever they
- * report, one that asks here itself must find room: it would not get any
- * configuration otherwise. */
+/* Finds a follower that was reported by another process and has not polled
+ * here; its slot may be reused.  An instance that polls must get a slot
+ * however many were reported, since it gets no configuration without one. */
 static struct follower *
 find_reusable_slot(struct control *c)
 {
@@ -163,10 +167,10 @@
     reply_poll(c, f, &m);
 }
 
-/* After a restart the member knows what its disk holds, but not which of it is
- * committed, and perhaps less than it served before.  Until it has applied
- * what was committed when the leader answered it, it serves nobody: a follower
- * that restarted too would otherwise get an older version than it had. */
+/* After a restart a member does not know which of its entries are committed,
+ * and may have applied less than before.  It answers no polls until it has
+ * applied the read index that the leader reported after the start: otherwise a
+ * follower that restarted too could get an older version than before. */
 void
 followers_answer_polls(struct control *c)
 {
@@ -238,8 +242,8 @@
     for (size_t i = c->n_followers; i > 0; i--) {
         struct follower *f = &c->followers[i - 1];
 
-        /* One that cannot serve yet stays silent: the follower asks another.
-         */
+        /* A member that may not serve yet sends no answer, so that the
+         * follower polls another member. */
         if (c->serving && f->polling &&
             c->now.mono_us >= f->poll_deadline_us) {
             send_version(c, f, f->have_version);
--- a/src/fsm.c
+++ b/src/fsm.c
@@ -103,11 +103,10 @@
     return NULL;
 }
 
-/* A ranked publication is a whole configuration that its operator has
- * numbered. The highest number wins.  One that is not higher changes nothing
- * and is confirmed all the same: it may be the resend of one whose
- * confirmation was lost, and refusing that would tell its operator that it
- * never counted. */
+/* A ranked publication is a whole configuration with a rank assigned by its
+ * operator; the highest rank wins.  A publication whose rank is not higher
+ * changes nothing but is confirmed: it may be a resend whose first answer was
+ * lost, and a refusal would say that it had never been accepted. */
 static struct fsm_outcome
 check_ranked(const struct fsm *f, const struct rec_publish *p)
 {
@@ -177,7 +176,8 @@
     }
 }
 
-/* An eighth at a time goes, so that a full history isn't moved each time. */
+/* Drops an eighth of the history at a time, so that a full history is not
+ * moved in memory by every publication. */
 static void
 trim_history(struct fsm *f)
 {
@@ -306,7 +306,7 @@
     s->n_texts = f->n_texts;
     b = wire_encode_blob(&m);
     if (b == NULL) {
-        abort(); /* the limits keep it below a frame */
+        abort(); /* the limits keep the size below the frame limit */
     }
     return b;
 }
--- a/src/quorum.c
+++ b/src/quorum.c
@@ -1,3 +1,7 @@
+/*
+ * Membership and majorities.  A vote counts only from the data folder that the
+ * membership records for the member.
+ */
 #include <stdlib.h>
 #include <string.h>
 #include <syslog.h>
@@ -21,9 +25,9 @@
     return find_member(&c->members, name);
 }
 
-/* A member whose disk was replaced has forgotten what it confirmed and whom it
- * voted for.  Counted as before, it could help to elect a leader that lacks an
- * accepted change.  So a vote belongs to a name and a data folder. */
+/* A vote belongs to a member name and a data folder.  A member whose disk was
+ * replaced has lost its log and its vote; if it still counted, it could help
+ * elect a leader that lacks an accepted change. */
 bool
 quorum_self_is_voter(const struct control *c)
 {
@@ -106,7 +110,7 @@
     return x < y ? 1 : x > y ? -1 : 0;
 }
 
-/* The highest value that a majority reached. */
+/* The highest value that a majority has reached; sorts @values. */
 static uint64_t
 majority_value(const struct control *c, uint64_t values[], size_t n)
 {
@@ -240,7 +244,8 @@
     return CONTROL_OK;
 }
 
-/* Whether the voters that are there would still be a majority without one. */
+/* Whether the voters heard recently, without @name, are a majority of the
+ * voters that remain after its removal. */
 static bool
 can_remove(const struct control *c, struct name name)
 {
@@ -289,8 +294,8 @@
 }
 
 /* One change at a time, and none before the leader has committed an entry of
- * its own term: otherwise majorities of the old and the new members need not
- * overlap, and two leaders could be elected in one term. */
+ * its own term.  Otherwise a majority of the old membership and one of the new
+ * need not overlap, and two leaders could be elected in one term. */
 enum control_result
 quorum_prepare_change(struct control *c, const struct cev_change *change,
                       struct rec_membership *out, const char **detail)
--- a/src/receive.c
+++ b/src/receive.c
@@ -1,3 +1,7 @@
+/*
+ * The receiving side of replication: takes entries and snapshots from the
+ * leader (Raft 5.3 and 7).
+ */
 #include <stdlib.h>
 #include <string.h>
 #include <syslog.h>
@@ -24,7 +28,7 @@
     control_send(c, to, &m, seq);
 }
 
-/* Whether to listen to a leader of that term. */
+/* Whether to accept @from as leader of @term; if so, follows it. */
 static bool
 accept_leader(struct control *c, struct name from, uint64_t term)
 {
@@ -55,7 +59,8 @@
     return true;
 }
 
-/* Where the leader should try next: before the term that does not agree. */
+/* Next index that the leader should try: the first entry of the conflicting
+ * term, so that the leader backs up by terms and not by single entries. */
 static uint64_t
 next_index_hint(const struct control *c, uint64_t prev)
 {
@@ -106,7 +111,8 @@
     msg_free(&m);
 }
 
-/* Adds what is new; false when it contradicts what is committed here. */
+/* Appends new entries, and truncates the log before an entry that conflicts;
+ * false when a committed entry conflicts. */
 static bool
 merge_entries(struct control *c, const struct rec_append *a)
 {
@@ -171,8 +177,9 @@
         return;
     }
     update_commit(c, a->commit, match);
-    /* A heartbeat is answered with what is durable already.  Waiting for a
-     * slow disk, this member would look dead, and its leader step down. */
+    /* A heartbeat acknowledges only what is already durable, so its reply is
+     * not delayed by a slow disk: otherwise this member would look dead to the
+     * leader, which would then step down. */
     if (a->n_entries == 0 && match > c->log.durable) {
         match = c->log.durable;
     }
@@ -209,7 +216,7 @@
            s->data->size > 0;
 }
 
-/* Adds a chunk; returns the offset wanted next. */
+/* Stores a chunk; returns the offset of the next missing byte. */
 static uint64_t
 store_chunk(struct control *c, const struct rec_snapshot *s)
 {
--- a/src/replicate.c
+++ b/src/replicate.c
@@ -1,10 +1,14 @@
+/*
+ * The leader's side of replication: appends entries, sends them and snapshots
+ * to the other members, and advances the commit index (Raft 5.3).
+ */
 #include <stdlib.h>
 #include <string.h>
 #include <syslog.h>
 
 #include "control_state.h"
 
-enum { IN_FLIGHT_MAX = 256 }; /* entries sent and not yet confirmed */
+enum { IN_FLIGHT_MAX = 256 }; /* entries sent and not yet acknowledged */
 
 static struct blob *
 encode_entry(const struct msg *m)
@@ -12,7 +16,7 @@
     struct blob *b = wire_encode_blob(m);
 
     if (b == NULL) {
-        abort(); /* sizes are checked before */
+        abort(); /* callers keep the size below the frame limit */
     }
     return b;
 }
@@ -117,7 +121,8 @@
     send_chunk(c, p);
 }
 
-/* Sends what the member lacks, as far as it may be sent now. */
+/* Sends missing entries up to IN_FLIGHT_MAX, or starts a snapshot if the log
+ * no longer holds them. */
 static void
 send_entries(struct control *c, struct progress *p)
 {
@@ -235,9 +240,9 @@
     }
 }
 
-/* Only an entry of the own term is committed by counting; those before it are
- * then, too.  An older entry on a majority could still be replaced by a leader
- * that never saw it. */
+/* Only an entry of the leader's own term is committed by counting replicas,
+ * and that commits all entries before it (Raft 5.4.2).  An entry of an older
+ * term could be replaced by a later leader although a majority has it. */
 void
 replicate_advance_commit(struct control *c)
 {
@@ -254,7 +259,8 @@
     for_each_peer(c, send_commit);
 }
 
-/* Notes that a member spoke; NULL when the reply is not for this leader. */
+/* Records contact with a member that replied, and returns its progress; NULL
+ * when the reply is not to be processed further. */
 static struct progress *
 accept_reply(struct control *c, struct name from, uint64_t term, uint64_t disk)
 {
@@ -274,8 +280,8 @@
     }
     p->last_heard_us = c->now.mono_us;
     if (term > c->term) {
-        /* Not for one that came back with another disk: until an operator
-         * replaces it, it must not move the leader. */
+        /* A voter that came back with another disk must not cause an
+         * election; it has to be replaced first. */
         if (quorum_peer_is_voter(c, p) || (m != NULL && m->voter == 0)) {
             election_campaign_above(c, term);
         }
@@ -321,8 +327,8 @@
     if (p->snapshot != NULL || r->hint > p->next_index) {
         return;
     }
-    /* The hint may lie before what the member confirmed: its entries of one
-     * term are given up as a whole, though the first of them agree. */
+    /* The hint skips all of the member's entries of one term, so it can lie
+     * before the match index. */
     p->next_index = r->hint > p->match_index ? r->hint : p->match_index + 1;
     p->is_probing = true;
     send_probe(c, p);
--- a/src/serve.c
+++ b/src/serve.c
@@ -1,3 +1,8 @@
+/*
+ * Requests of operators (publications, membership changes, reads) and read
+ * index requests of other members.  A request is pending until its entry is
+ * applied, or until a heartbeat round confirms the read.
+ */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -7,8 +12,8 @@
 #include "delta.h"
 
 enum {
-    PENDING_MAX = 1024,       /* requests that wait */
-    ROUND_GAP_US = 10 * 1000, /* between rounds that reads begin */
+    PENDING_MAX = 1024,       /* pending requests */
+    ROUND_GAP_US = 10 * 1000, /* least time between rounds begun by reads */
 };
 
 /* Answers. */
@@ -61,7 +66,7 @@
     r->leader = m->http;
 }
 
-/* Requests that wait. */
+/* Pending requests. */
 static struct pending_request *
 add_pending(struct control *c, enum pending_kind kind, uint64_t request)
 {
@@ -111,7 +116,8 @@
     return false;
 }
 
-/* Whether this member may take a change; answers otherwise. */
+/* Whether this member accepts publications and changes; if not, answers the
+ * request. */
 static bool
 accepts_changes(struct control *c, uint64_t request)
 {
@@ -157,16 +163,16 @@
     return NULL;
 }
 
-/* The entry holds what changed against its base, if the base's text is here.
- * It is looked at only where the base still is the newest when it is applied,
- * so every member then has that text. */
+/* The entry holds a delta against the base version if its text is kept here.
+ * The delta is applied only if the base is still the newest version then, so
+ * every member has the text. */
 static struct msg
 make_publish_entry(struct control *c, const struct cev_publish *p)
 {
     struct msg m = {.kind = MSG_PUBLISH};
     struct rec_publish *r = &m.u.publish;
-    /* A ranked one may be applied behind others that are not known yet, so it
-     * can't build on any text. */
+    /* A ranked publication may be applied after others that are not known yet,
+     * so it holds the whole text. */
     struct blob *base =
         p->rank == 0 ? fsm_version_text(&c->fsm, p->base_version) : NULL;
     struct delta d = delta_make(base, p->config);
@@ -188,8 +194,8 @@
     return m;
 }
 
-/* What is settled already is answered at once: a version, once committed, is
- * never another's, whoever leads. */
+/* A publication whose outcome follows from applied entries is answered at
+ * once: a committed version never changes, under any leader. */
 void
 serve_publish(struct control *c, const struct cev_publish *p)
 {
@@ -198,7 +204,7 @@
     struct msg m;
 
     if (p->rank != 0 && p->rank <= c->fsm.rank) {
-        /* Committed entries alone are applied: any member may say so. */
+        /* Only committed entries are applied, so any member may answer. */
         (void)reply(c, p->request, CONTROL_OK, "not above the newest");
         c->counters.resent++;
         return;
@@ -219,7 +225,7 @@
         c->counters.refused += o.result != CONTROL_OK ? 1 : 0;
     }
     else {
-        /* A base version above ours may be on its way here. */
+        /* A base version above the applied one may be in the log already. */
         uint64_t index = replicate_propose(c, LOG_KIND_PUBLISH, &m);
 
         add_pending_entry(c, p->request, index);
@@ -323,11 +329,12 @@
     }
 }
 
-/* A leader that was deposed without knowing would answer with the past; so a
- * read waits for a round of heartbeats begun after it, and for the entries
- * committed until then.  Those of earlier terms are known to be committed once
- * the first of the own term is.  Reads that come close together share a round:
- * anybody may read, and must not make the leader send as often as he asks. */
+/* Read index (Raft 8): a leader that was deposed without knowing it would
+ * answer with stale data.  So a read waits for a heartbeat round that begins
+ * after it, and until the entries committed by then are applied; entries of
+ * earlier terms are known to be committed once the first entry of the leader's
+ * term is.  Reads within ROUND_GAP_US share a round: reads need no signature,
+ * and a client must not cause messages to all members with every request. */
 static void
 wait_for_round(struct control *c, struct pending_request *p)
 {
@@ -409,13 +416,16 @@
     control_send(c, p->from, &m, c->hard_state_seq);
 }
 
-/* Answers what can be: true when the request is done with. */
+/* Answers a request that is confirmed, or can no longer be; true when it is no
+ * longer pending.  Requests whose entry was applied are already removed by
+ * serve_entry_applied(). */
 static bool
 resolve_pending(struct control *c, const struct pending_request *p,
                 uint64_t round)
 {
     if (p->kind == PENDING_ENTRY) {
-        /* Its entry is behind a snapshot that came in its place. */
+        /* Applied, but still pending: a snapshot replaced the entry, so the
+         * outcome is not known. */
         if (p->wait_index > c->applied_index &&
             c->now.mono_us < p->deadline_us) {
             return false;
