--- a/tests/cluster.c
+++ b/tests/cluster.c
@@ -163,7 +163,7 @@
 
 /* The follower. */
 static void
-follower_takes(struct cluster *cl, const struct rec_config_reply *r)
+follower_receive(struct cluster *cl, const struct rec_config_reply *r)
 {
     struct blob *text;
 
@@ -196,9 +196,9 @@
 }
 
 static void
-fly(struct cluster *cl, struct name from, int to, const struct msg *m)
+send_copy(struct cluster *cl, struct name from, int to, const struct msg *m)
 {
-    struct flight *f;
+    struct in_flight_msg *f;
     struct msg back;
     msgpack_sbuffer buffer;
 
@@ -206,7 +206,7 @@
         cluster_random(cl, 1000) < cl->loss_permille) {
         return;
     }
-    /* Over the real codec, so that every message is known to survive it. */
+    /* Uses the real codec, so that the encoding of messages is tested too. */
     msgpack_sbuffer_init(&buffer);
     if (wire_encode(m, &buffer) != WIRE_OK ||
         wire_decode(buffer.data, buffer.size, &back) != WIRE_OK) {
@@ -223,8 +223,8 @@
 }
 
 static void
-carry(struct cluster *cl, struct name from, struct name to,
-      const struct msg *m)
+send_msg(struct cluster *cl, struct name from, struct name to,
+         const struct msg *m)
 {
     int target = node_number(cl, to);
 
@@ -232,15 +232,15 @@
         cl->send_external(cl->external_ctx, from, to, m);
         return;
     }
-    fly(cl, from, target, m);
+    send_copy(cl, from, target, m);
     if (cluster_random(cl, 1000) < cl->duplicate_permille) {
-        fly(cl, from, target, m);
+        send_copy(cl, from, target, m);
     }
 }
 
 /* Effects. */
 static void
-check_accepted(struct cluster *cl, const struct answer *a)
+check_accepted(struct cluster *cl, const struct cluster_answer *a)
 {
     uint64_t *first = &cl->request_versions[a->id];
 
@@ -257,9 +257,9 @@
 }
 
 static void
-take_reply(struct cluster *cl, const struct ce_reply *r)
+on_reply(struct cluster *cl, const struct ce_reply *r)
 {
-    struct answer *a = &cl->answers[r->request % CLUSTER_REQUESTS_MAX];
+    struct cluster_answer *a = &cl->answers[r->request % CLUSTER_REQUESTS_MAX];
     uint64_t version = r->publication.kind == MSG_PUBLICATION
                            ? r->publication.u.publication.version
                            : r->version;
@@ -284,7 +284,7 @@
 }
 
 static void
-take_effect(struct cluster *cl, struct node *n, struct control_effect *f)
+on_effect(struct cluster *cl, struct node *n, struct control_effect *f)
 {
     if (control_effect_is_disk(f->kind)) {
         if (n->n_disk_work == CLUSTER_DISK_WORK_MAX) {
@@ -303,16 +303,16 @@
         if (f->u.send.msg.kind == MSG_CONFIG_REPLY) {
             check_served(cl, n, &f->u.send.msg.u.config_reply);
         }
-        carry(cl, n->name, f->u.send.to, &f->u.send.msg);
+        send_msg(cl, n->name, f->u.send.to, &f->u.send.msg);
     }
     if (f->kind == CE_REPLY) {
-        take_reply(cl, &f->u.reply);
+        on_reply(cl, &f->u.reply);
     }
 }
 
-/* Counts a step; whoever was to be killed at it is. */
+/* Counts a step, and crashes the node if this is the step to crash at. */
 static bool
-killed(struct cluster *cl, int i)
+crash_if_due(struct cluster *cl, int i)
 {
     cl->steps++;
     if (cl->steps != cl->crash_at_step) {
@@ -328,7 +328,7 @@
     struct node *n = &cl->nodes[i];
     struct control_effects fx = {0};
 
-    if (n->control == NULL || n->paused || killed(cl, i)) {
+    if (n->control == NULL || n->paused || crash_if_due(cl, i)) {
         return;
     }
     ev->now.mono_us = cl->now_us;
@@ -336,7 +336,7 @@
     control_step(n->control, ev, &fx);
     check_node(cl, n);
     for (size_t e = 0; e < fx.n; e++) {
-        take_effect(cl, n, &fx.items[e]);
+        on_effect(cl, n, &fx.items[e]);
     }
     control_effects_free(&fx);
 }
@@ -349,16 +349,16 @@
                : n->disk_stalled_until_us;
 }
 
-/* The disk's thread: one effect at a time. */
+/* The disk thread of a node: carries out one effect. */
 static void
-work(struct cluster *cl, int i)
+run_disk_operation(struct cluster *cl, int i)
 {
     struct node *n = &cl->nodes[i];
     struct control_effect f = n->disk_work[0];
     struct control_event ev = {.kind = CEV_SAVED};
     enum storage_error err;
 
-    if (killed(cl, i)) {
+    if (crash_if_due(cl, i)) {
         return;
     }
     n->n_disk_work--;
@@ -373,7 +373,7 @@
              ? 500 + (int64_t)cluster_random(cl, (uint64_t)cl->max_sync_us)
              : 50);
     if (err != STORAGE_OK) {
-        cluster_crash(cl, i); /* the process stops */
+        cluster_crash(cl, i); /* as the real process does on disk errors */
     }
     else if (f.kind == CE_SYNC) {
         step(cl, i, &ev);
@@ -467,7 +467,7 @@
 }
 
 static struct blob *
-founding(const struct cluster *cl)
+founding_state(const struct cluster *cl)
 {
     struct rec_control_member members[CLUSTER_NODES_MAX] = {0};
     struct rec_membership m = {members, (size_t)cl->n};
@@ -484,9 +484,9 @@
 }
 
 static void
-format(struct cluster *cl, int i)
+format_disk(struct cluster *cl, int i)
 {
-    struct blob *state = founding(cl);
+    struct blob *state = founding_state(cl);
     struct storage_options o;
     char detail[DETAIL_SIZE];
 
@@ -504,12 +504,12 @@
 cluster_bootstrap_again(struct cluster *cl, int i)
 {
     cluster_wipe(cl, i);
-    format(cl, i);
+    format_disk(cl, i);
 }
 
 /* Time. */
 static size_t
-next_flight(const struct cluster *cl)
+find_next_message(const struct cluster *cl)
 {
     size_t best = 0;
 
@@ -526,11 +526,12 @@
 static void
 deliver(struct cluster *cl, size_t at)
 {
-    struct flight f = cl->in_flight[at];
+    struct in_flight_msg f = cl->in_flight[at];
     struct control_event ev = {.kind = CEV_MESSAGE};
 
     if (f.to >= 0 && cl->nodes[f.to].paused) {
-        cl->in_flight[at].due_us += 50 * USEC_PER_MSEC; /* in its socket */
+        /* The message waits in the socket buffer. */
+        cl->in_flight[at].due_us += 50 * USEC_PER_MSEC;
         return;
     }
     cl->in_flight[at] = cl->in_flight[--cl->n_in_flight];
@@ -538,7 +539,7 @@
     ev.u.message.msg = &f.msg;
     if (f.to < 0) {
         if (f.msg.kind == MSG_CONFIG_REPLY) {
-            follower_takes(cl, &f.msg.u.config_reply);
+            follower_receive(cl, &f.msg.u.config_reply);
         }
     }
     else if (!cl->nodes[f.to].isolated &&
@@ -551,7 +552,7 @@
 static bool
 run_next(struct cluster *cl, int64_t until_us)
 {
-    size_t flight = next_flight(cl);
+    size_t flight = find_next_message(cl);
     int64_t due =
         cl->n_in_flight > 0 ? cl->in_flight[flight].due_us : INT64_MAX;
     struct control_event ev = {.kind = CEV_TICK};
@@ -583,7 +584,7 @@
         deliver(cl, flight);
     }
     else if (disk) {
-        work(cl, who);
+        run_disk_operation(cl, who);
     }
     else {
         step(cl, who, &ev);
@@ -639,17 +640,17 @@
 }
 
 /* Requests. */
-static struct answer *
-ask(struct cluster *cl, uint64_t r)
+static struct cluster_answer *
+new_request(struct cluster *cl, uint64_t r)
 {
-    struct answer *a = &cl->answers[r];
+    struct cluster_answer *a = &cl->answers[r];
 
     memset(a, 0, sizeof(*a));
     a->min_version = cl->confirmed_version;
     return a;
 }
 
-/* A text of fixed length in which the place of the change moves about. */
+/* A text of fixed length; the position of the change depends on @id. */
 static struct blob *
 text_of(uint64_t id)
 {
@@ -670,7 +671,7 @@
     char id_text[24];
 
     (void)snprintf(id_text, sizeof(id_text), "r%llu", (unsigned long long)id);
-    ask(cl, p.request)->id = id;
+    new_request(cl, p.request)->id = id;
     p.publisher = name_of("alice");
     p.request_id = id_text;
     p.summary = "a change";
@@ -703,7 +704,7 @@
 {
     struct control_event ev = {.kind = CEV_READ};
 
-    (void)ask(cl, r);
+    (void)new_request(cl, r);
     ev.u.read.request = r;
     ev.u.read.kind = READ_CONFIG;
     step(cl, i, &ev);
@@ -715,7 +716,7 @@
 {
     struct control_event ev = {.kind = CEV_CHANGE};
 
-    (void)ask(cl, r);
+    (void)new_request(cl, r);
     ev.u.change.request = r;
     ev.u.change.action = action;
     ev.u.change.member = node_name(member);
@@ -762,7 +763,7 @@
     m.u.config_request.zone = name_of("sk-east-a");
     m.u.config_request.has_text = cl->follower_text != NULL;
     if (!cl->nodes[i].isolated) {
-        carry(cl, name_of(FOLLOWER), cl->nodes[i].name, &m);
+        send_msg(cl, name_of(FOLLOWER), cl->nodes[i].name, &m);
     }
 }
 
@@ -795,7 +796,7 @@
         cl->nodes[i].name = node_name(i);
         cl->nodes[i].drops_from = CLUSTER_NODES_MAX;
         cl->nodes[i].disk = fault_disk_new();
-        format(cl, i);
+        format_disk(cl, i);
         cluster_start(cl, i);
     }
     return cl;
--- a/tests/config_spread_test.c
+++ b/tests/config_spread_test.c
@@ -1,4 +1,4 @@
-/* The way of a configuration from the members of control to a broker behind a
+/* Distribution of a configuration from control members to a broker behind a
  * slow link. */
 #include <stdio.h>
 #include <stdlib.h>
@@ -12,22 +12,22 @@
 
 #define MSEC USEC_PER_MSEC
 #define SEC USEC_PER_SEC
-/* A confirmed change is in force everywhere after that time at the latest. */
+/* Latest time from the confirmation of a change until it is in force. */
 #define APPLY_US (2 * SEC)
 
 enum {
     MEMBERS = 8,
     LINK_BYTES_PER_S = 25 * 1000 * 1000 / 8,
     ROUTES = 4200,
-    ROUTE_SIZE = 256, /* room for the text of one */
-    WAITING_MAX = 256,
+    ROUTE_SIZE = 256, /* most bytes of a route's text */
+    QUEUED_MAX = 256,
 };
 
-/* A text that brokers can't read. */
+/* A text that brokers cannot parse. */
 #define UNREADABLE "unreadable"
 
-/* A message on its way to the broker. */
-struct waiting {
+/* A message in transit to the broker. */
+struct queued_msg {
     int64_t due_us;
     struct name from;
     struct msg msg;
@@ -36,19 +36,20 @@
 struct spread {
     struct cluster *cl;
     struct broker *broker;
-    int64_t link_free_us; /* when the link has carried all of it */
-    struct waiting waiting[WAITING_MAX];
+    int64_t link_free_us; /* when the link has sent all queued messages */
+    struct queued_msg queued[QUEUED_MAX];
     size_t first;
     size_t n;
-    uint64_t texts;      /* of configurations, carried by the link */
-    uint64_t text_bytes; /* of them */
-    uint64_t next;       /* number of the next request */
-    bool mute_asked;     /* the first member asked for a text is not heard */
-    int asked;           /* its number; -1: none yet */
-    uint64_t given_up;   /* members that did not send a text in time */
+    uint64_t texts;          /* configuration texts sent over the link */
+    uint64_t text_bytes;     /* total bytes of these texts */
+    uint64_t last_request;   /* number of the last request */
+    bool drop_text_requests; /* the first member asked for a text does
+                                not get the request */
+    int asked_member;        /* number of that member; -1: none yet */
+    uint64_t timed_out;      /* text requests that timed out */
 };
 
-/* Its first number is the rank; the rest isn't looked at. */
+/* Parser of the test: the first number in the text is the rank. */
 static struct queueconf *
 read_rank(const char *text, size_t size, enum queueconf_fault *fault)
 {
@@ -78,16 +79,16 @@
     return size;
 }
 
-/* All connections share the link of the broker's machine. */
+/* All connections share the link of the broker's host. */
 static void
 to_broker(void *ctx, struct name from, struct name to, const struct msg *m)
 {
     struct spread *s = ctx;
-    struct waiting *w = &s->waiting[(s->first + s->n) % WAITING_MAX];
+    struct queued_msg *w = &s->queued[(s->first + s->n) % QUEUED_MAX];
     size_t size = encoded_size(m);
 
     (void)to;
-    CU_ASSERT_TRUE_FATAL(s->n < WAITING_MAX);
+    CU_ASSERT_TRUE_FATAL(s->n < QUEUED_MAX);
     s->n++;
     if (s->link_free_us < s->cl->now_us) {
         s->link_free_us = s->cl->now_us;
@@ -105,11 +106,11 @@
 static void
 to_member(struct spread *s, int member, const struct msg *m)
 {
-    if (s->mute_asked && s->asked < 0 &&
+    if (s->drop_text_requests && s->asked_member < 0 &&
         m->u.config_request.version_only == 0) {
-        s->asked = member;
+        s->asked_member = member;
     }
-    if (member != s->asked) {
+    if (member != s->asked_member) {
         cluster_inject(s->cl, "broker", member, m);
     }
 }
@@ -125,7 +126,7 @@
     for (size_t i = 0; i < fx.n; i++) {
         const struct broker_effect *f = &fx.items[i];
 
-        s->given_up +=
+        s->timed_out +=
             f->kind == BE_LOG && f->u.log.reason == BROKER_CONFIG_LATE ? 1 : 0;
         for (int n = 0; f->kind == BE_SEND && n < MEMBERS; n++) {
             if (name_equal(f->u.send.to, s->cl->nodes[n].name) &&
@@ -138,7 +139,7 @@
 }
 
 static void
-peer(struct spread *s, int member, bool up)
+connect_member(struct spread *s, int member, bool up)
 {
     struct broker_event ev = {.kind = BEV_PEER};
 
@@ -150,10 +151,10 @@
 static void
 deliver(struct spread *s)
 {
-    struct waiting w = s->waiting[s->first];
+    struct queued_msg w = s->queued[s->first];
     struct broker_event ev = {.kind = BEV_MESSAGE};
 
-    s->first = (s->first + 1) % WAITING_MAX;
+    s->first = (s->first + 1) % QUEUED_MAX;
     s->n--;
     ev.u.message.from = w.from;
     ev.u.message.msg = &w.msg;
@@ -168,7 +169,7 @@
 
     while (s->cl->now_us < until_us) {
         cluster_run(s->cl, MSEC);
-        while (s->n > 0 && s->waiting[s->first].due_us <= s->cl->now_us) {
+        while (s->n > 0 && s->queued[s->first].due_us <= s->cl->now_us) {
             deliver(s);
         }
         if (broker_next_us(s->broker) <= s->cl->now_us) {
@@ -184,7 +185,7 @@
     struct broker_options opts = broker_options_default();
     struct rec_instance registries[MEMBERS] = {0};
 
-    s->asked = -1;
+    s->asked_member = -1;
     s->cl = cluster_new(MEMBERS, seed, NULL);
     s->cl->options.heartbeat_interval_us = 80 * MSEC;
     s->cl->options.election_timeout_us = 400 * MSEC;
@@ -204,7 +205,7 @@
     opts.read_config = read_rank;
     s->broker = broker_new(&opts);
     for (int i = 0; i < MEMBERS; i++) {
-        peer(s, i, true);
+        connect_member(s, i, true);
     }
     run(s, SEC);
     return s;
@@ -215,8 +216,8 @@
 {
     CU_ASSERT_EQUAL(s->cl->violations, 0);
     while (s->n > 0) {
-        msg_free(&s->waiting[s->first].msg);
-        s->first = (s->first + 1) % WAITING_MAX;
+        msg_free(&s->queued[s->first].msg);
+        s->first = (s->first + 1) % QUEUED_MAX;
         s->n--;
     }
     broker_free(s->broker);
@@ -224,8 +225,8 @@
     free(s);
 }
 
-/* A whole configuration as operators send them: its number stands first, and
- * what is new stands at the end. */
+/* A whole configuration as operators send it, with the rank at the start and
+ * new routes at the end. */
 static struct blob *
 text_of(uint64_t rank, size_t routes)
 {
@@ -253,12 +254,12 @@
     return b;
 }
 
-/* Returns when it is confirmed. */
+/* Publishes, and runs until the publication is confirmed. */
 static void
 publish(struct spread *s, uint64_t rank, size_t routes)
 {
     struct blob *text = text_of(rank, routes);
-    uint64_t r = ++s->next;
+    uint64_t r = ++s->last_request;
 
     cluster_publish_ranked(s->cl, cluster_leader(s->cl), r, rank, text);
     while (!s->cl->answers[r].done) {
@@ -275,7 +276,7 @@
 }
 
 static int64_t
-until_in_force_us(struct spread *s, uint64_t rank)
+wait_in_force_us(struct spread *s, uint64_t rank)
 {
     int64_t from_us = s->cl->now_us;
 
@@ -285,8 +286,8 @@
     return s->cl->now_us - from_us;
 }
 
-/* Guards against a small change that comes late because copies of the large
- * one before it fill the broker's link. */
+/* Guards against a small change that is delayed because copies of the large
+ * change before it saturate the broker's link. */
 static void
 small_change_behind_a_large_one_is_in_time(void)
 {
@@ -294,67 +295,67 @@
 
     publish(s, 7, ROUTES);
     publish(s, 8, ROUTES + 1);
-    CU_ASSERT_TRUE(until_in_force_us(s, 8) <= APPLY_US);
+    CU_ASSERT_TRUE(wait_in_force_us(s, 8) <= APPLY_US);
     spread_free(s);
 }
 
-/* Guards against as many copies of a text as there are members. */
+/* Guards against a copy of the text being sent by every member. */
 static void
-one_copy_of_each_text_is_carried(void)
+one_copy_of_each_text_is_sent(void)
 {
     struct spread *s = spread_new(2);
 
     publish(s, 7, ROUTES);
-    run(s, 10 * SEC); /* polls end and begin anew */
+    run(s, 10 * SEC); /* long polls expire and are renewed */
     CU_ASSERT_EQUAL(rank_in_force(s), 7);
     CU_ASSERT_EQUAL(s->texts, 1);
     spread_free(s);
 }
 
-/* Guards against a change of one queue that carries all others, because the
- * number of the version stands before them. */
+/* Guards against a change of one queue that sends all queues again, because
+ * the version number at the start of the text differs too. */
 static void
-small_change_is_carried_as_one(void)
+small_change_is_sent_as_a_delta(void)
 {
     struct spread *s = spread_new(5);
 
     publish(s, 7, ROUTES);
-    (void)until_in_force_us(s, 7);
+    (void)wait_in_force_us(s, 7);
     s->text_bytes = 0;
     publish(s, 8, ROUTES + 1);
-    (void)until_in_force_us(s, 8);
+    (void)wait_in_force_us(s, 8);
     CU_ASSERT_EQUAL(rank_in_force(s), 8);
     CU_ASSERT_TRUE(s->text_bytes / 4 < ROUTE_SIZE);
     spread_free(s);
 }
 
-/* Runs until the broker knows of a newer version whose text it lacks; returns
- * the member that it asked for the text. */
+/* Runs until the broker has requested the text of a newer version; returns the
+ * member that it requested the text from. */
 static int
-until_asked(struct spread *s)
+wait_until_asked(struct spread *s)
 {
-    for (int i = 0; i < 1000 && s->asked < 0; i++) {
+    for (int i = 0; i < 1000 && s->asked_member < 0; i++) {
         run(s, MSEC);
     }
-    CU_ASSERT_TRUE_FATAL(s->asked >= 0);
-    return s->asked;
+    CU_ASSERT_TRUE_FATAL(s->asked_member >= 0);
+    return s->asked_member;
 }
 
-/* Guards against a change that waits for the only member that was asked for
- * its text, and that stands still. */
+/* Guards against a change that is not applied because the only member that the
+ * text was requested from is unresponsive. */
 static void
-text_of_a_silent_member_comes_from_another(void)
+text_comes_from_another_member_after_a_timeout(void)
 {
     struct spread *s = spread_new(3);
     struct blob *text = text_of(7, ROUTES);
-    uint64_t r = ++s->next;
+    uint64_t r = ++s->last_request;
     int64_t from_us = s->cl->now_us;
 
-    s->mute_asked = true;
+    s->drop_text_requests = true;
     cluster_publish_ranked(s->cl, cluster_leader(s->cl), r, 7, text);
-    (void)until_asked(s);
+    (void)wait_until_asked(s);
     CU_ASSERT_TRUE(broker_config_outdated(s->broker));
-    (void)until_in_force_us(s, 7);
+    (void)wait_in_force_us(s, 7);
     CU_ASSERT_TRUE(s->cl->answers[r].done);
     CU_ASSERT_TRUE(s->cl->now_us - from_us <= APPLY_US);
     CU_ASSERT_FALSE(broker_config_outdated(s->broker));
@@ -362,68 +363,71 @@
     spread_free(s);
 }
 
-/* Guards against waiting for a text that was lost with its connection. */
+/* Guards against waiting for a text after its connection was lost. */
 static void
 text_lost_with_its_connection_comes_from_another(void)
 {
     struct spread *s = spread_new(4);
     struct blob *text = text_of(7, ROUTES);
-    int asked;
-
-    s->mute_asked = true;
-    cluster_publish_ranked(s->cl, cluster_leader(s->cl), ++s->next, 7, text);
-    asked = until_asked(s);
-    peer(s, asked, false);
-    CU_ASSERT_TRUE(until_in_force_us(s, 7) <= APPLY_US / 2);
+    int asked_member;
+
+    s->drop_text_requests = true;
+    cluster_publish_ranked(s->cl, cluster_leader(s->cl), ++s->last_request, 7,
+                           text);
+    asked_member = wait_until_asked(s);
+    connect_member(s, asked_member, false);
+    CU_ASSERT_TRUE(wait_in_force_us(s, 7) <= APPLY_US / 2);
     blob_unref(text);
     spread_free(s);
 }
 
-/* Guards against a member that is taken for silent because the text came from
- * another one meanwhile. */
+/* Guards against a member that is reported as unresponsive although the text
+ * has arrived from another member meanwhile. */
 static void
-text_that_came_late_ends_the_wait(void)
+text_from_another_member_ends_the_wait(void)
 {
     struct spread *s = spread_new(6);
     struct blob *text = text_of(7, 20);
     struct msg late = {.kind = MSG_CONFIG_REPLY};
     struct broker_event ev = {.kind = BEV_MESSAGE};
 
-    s->mute_asked = true;
-    cluster_publish_ranked(s->cl, cluster_leader(s->cl), ++s->next, 7, text);
-    (void)until_asked(s);
+    s->drop_text_requests = true;
+    cluster_publish_ranked(s->cl, cluster_leader(s->cl), ++s->last_request, 7,
+                           text);
+    (void)wait_until_asked(s);
     late.u.config_reply.version = 1;
     late.u.config_reply.config = text;
-    ev.u.message.from = s->cl->nodes[(s->asked + 1) % MEMBERS].name;
+    ev.u.message.from = s->cl->nodes[(s->asked_member + 1) % MEMBERS].name;
     ev.u.message.msg = &late;
     step(s, &ev);
     CU_ASSERT_EQUAL(rank_in_force(s), 7);
     run(s, 5 * SEC);
-    CU_ASSERT_EQUAL(s->given_up, 0);
+    CU_ASSERT_EQUAL(s->timed_out, 0);
     blob_unref(text);
     spread_free(s);
 }
 
-/* Guards against a text that is fetched again and again, at the speed of the
- * link, because it can't be in force. */
+/* Guards against a text that is fetched over and over because it cannot be
+ * parsed, and so is never in force. */
 static void
 unreadable_text_is_fetched_once(void)
 {
     struct spread *s = spread_new(7);
     struct blob *text = blob_new(UNREADABLE, strlen(UNREADABLE));
 
-    cluster_publish_ranked(s->cl, cluster_leader(s->cl), ++s->next, 7, text);
+    cluster_publish_ranked(s->cl, cluster_leader(s->cl), ++s->last_request, 7,
+                           text);
     run(s, 5 * SEC);
     CU_ASSERT_EQUAL(s->texts, 1);
     CU_ASSERT_FALSE(broker_config_outdated(s->broker));
     publish(s, 8, 20);
-    CU_ASSERT_TRUE(until_in_force_us(s, 8) <= APPLY_US);
+    CU_ASSERT_TRUE(wait_in_force_us(s, 8) <= APPLY_US);
     blob_unref(text);
     spread_free(s);
 }
 
-/* Guards against a text that was damaged on its way, or packed against another
- * one, and is in force all the same. */
+/* Guards against applying a text that was corrupted in transit, or packed
+ * against another base text. */
 static void
 damaged_text_is_refused(void)
 {
@@ -456,9 +460,10 @@
     blob_unref(packed);
 }
 
-/* Guards against a small message that takes all memory. */
+/* Guards against a small message that unpacks to a huge text and exhausts the
+ * memory. */
 static void
-text_of_any_size_is_refused(void)
+oversized_text_is_refused(void)
 {
     char *zeros = calloc(1, TEXTPACK_MAX + 1);
     struct blob *text = blob_new(zeros, TEXTPACK_MAX + 1);
@@ -476,13 +481,13 @@
 {
 #define TEST(name) check_add("config_spread", #name, name)
     TEST(small_change_behind_a_large_one_is_in_time);
-    TEST(one_copy_of_each_text_is_carried);
-    TEST(small_change_is_carried_as_one);
-    TEST(text_of_a_silent_member_comes_from_another);
-    TEST(text_that_came_late_ends_the_wait);
+    TEST(one_copy_of_each_text_is_sent);
+    TEST(small_change_is_sent_as_a_delta);
+    TEST(text_comes_from_another_member_after_a_timeout);
+    TEST(text_from_another_member_ends_the_wait);
     TEST(unreadable_text_is_fetched_once);
     TEST(damaged_text_is_refused);
-    TEST(text_of_any_size_is_refused);
+    TEST(oversized_text_is_refused);
     TEST(text_lost_with_its_connection_comes_from_another);
 #undef TEST
 }
--- a/tests/control_test.c
+++ b/tests/control_test.c
@@ -1,4 +1,4 @@
-/* The control members' reducer, several of them in virtual time. */
+/* The reducer of control members: several members in virtual time. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -8,7 +8,7 @@
 #include "delta.h"
 
 enum {
-    KILL_SEEDS = 3,
+    CRASH_SEEDS = 3,
     SCHEDULES = 100,
     SCHEDULE_STEPS = 120,
     BREAK_SCHEDULES = 400,
@@ -18,7 +18,7 @@
 static const int64_t SEC = USEC_PER_SEC;
 
 static void
-no_violation(struct cluster *cl)
+assert_no_violation(struct cluster *cl)
 {
     CU_ASSERT_EQUAL(cl->violations, 0);
     if (cl->violations > 0) {
@@ -34,7 +34,7 @@
                : 0;
 }
 
-/* Publishes from what the leader has, again and again until it is accepted. */
+/* Publishes from the leader's version, and retries until it is accepted. */
 static void
 publish_until_accepted(struct cluster *cl, uint64_t r)
 {
@@ -51,9 +51,10 @@
                       (unsigned long long)r);
 }
 
-/* Everything works again: all members must agree, and accept more. */
+/* Ends all faults, and checks that all members agree and accept another
+ * publication. */
 static void
-check_recovers(struct cluster *cl, uint64_t r)
+check_recovery(struct cluster *cl, uint64_t r)
 {
     int leader;
 
@@ -72,7 +73,7 @@
     cluster_run(cl, 5 * SEC);
     leader = cluster_await_leader(cl);
     if (version_of(cl, leader) < cl->confirmed_version) {
-        cluster_violation(cl, "version %llu was confirmed and is gone",
+        cluster_violation(cl, "version %llu was confirmed and is lost",
                           (unsigned long long)cl->confirmed_version);
     }
     for (int i = 0; i < cl->n; i++) {
@@ -83,7 +84,7 @@
 }
 
 static void
-publishes_to_all(void)
+publications_reach_all_members(void)
 {
     struct cluster *cl = cluster_new(3, 1, NULL);
 
@@ -97,15 +98,14 @@
     for (int i = 0; i < 3; i++) {
         CU_ASSERT_EQUAL(version_of(cl, i), 5);
     }
-    no_violation(cl);
+    assert_no_violation(cl);
     cluster_free(cl);
 }
 
-/* Two operators change the same version at the same time.  If both were
- * accepted, the second would take back what the first had changed, and nobody
- * would notice until a service runs with the old limits. */
+/* Guards against a lost update: two operators publish from the same base
+ * version at the same time, and the second would undo the first's change. */
 static void
-equal_bases_race(void)
+concurrent_publications_from_one_base(void)
 {
     struct cluster *cl = cluster_new(3, 2, NULL);
     int leader = cluster_await_leader(cl);
@@ -122,7 +122,7 @@
     cluster_run(cl, SEC);
     CU_ASSERT_EQUAL(cl->answers[4].result, CONTROL_BAD_PUBLICATION);
     CU_ASSERT_EQUAL(version_of(cl, leader), 1);
-    no_violation(cl);
+    assert_no_violation(cl);
     cluster_free(cl);
 }
 
@@ -136,9 +136,10 @@
     CU_ASSERT_EQUAL(cl->answers[r].version, 2);
 }
 
-/* The answer to a publication is lost, and the operator's tool sends it again:
- * to the same leader, to a new one, after restarts, and after a snapshot has
- * replaced the entry.  Published anew it would undo what others did since. */
+/* Guards against a resend that is published a second time, and so undoes later
+ * changes.  The answer is lost and the operator's tool sends the publication
+ * again: to the same leader, to a new one, after restarts, and after a
+ * snapshot has replaced the entry. */
 static void
 resends_get_the_first_answer(void)
 {
@@ -171,14 +172,14 @@
     cluster_publish(cl, cluster_await_leader(cl), 8, 0, 2);
     cluster_run(cl, SEC);
     CU_ASSERT_EQUAL(cl->answers[8].result, CONTROL_REUSED);
-    no_violation(cl);
+    assert_no_violation(cl);
     cluster_free(cl);
 }
 
-/* One run of a publication, during which a member is killed at a step.  The
- * operator resends until there is an answer. */
+/* Publishes once, with a member crashing at step @crash_step; resends until
+ * there is an answer.  Returns the number of steps of the publication. */
 static uint64_t
-killed_publication(uint64_t seed, uint64_t before, uint64_t kill_at)
+publish_with_crash(uint64_t seed, uint64_t before, uint64_t crash_step)
 {
     struct cluster *cl = cluster_new(3, seed, NULL);
     uint64_t steps;
@@ -187,7 +188,7 @@
         publish_until_accepted(cl, r);
     }
     cl->steps = 0;
-    cl->crash_at_step = kill_at;
+    cl->crash_at_step = crash_step;
     cluster_publish(cl, cluster_await_leader(cl), 100, before, 100);
     cluster_run(cl, 400 * MSEC);
     steps = cl->steps;
@@ -210,50 +211,50 @@
     if (cl->answers[100].done && cl->answers[100].result == CONTROL_OK) {
         CU_ASSERT_TRUE(cl->answers[101].resend);
     }
-    check_recovers(cl, 200);
+    check_recovery(cl, 200);
     CU_ASSERT_EQUAL(version_of(cl, 0), before + 2);
-    no_violation(cl);
+    assert_no_violation(cl);
     cluster_free(cl);
     return steps;
 }
 
-/* A member dies at any step of a publication, or of the snapshot that it
- * causes: before the entry is written, between write and sync, before the
- * answer, between the rename of the snapshot and that of the log.  A confirmed
- * change must be there afterwards, and no change twice. */
+/* Guards against a confirmed change that is lost, or applied twice, when a
+ * member crashes at any step of a publication or of the snapshot it triggers:
+ * before the entry is written, between write and sync, before the answer,
+ * between the rename of the snapshot and that of the log. */
 static void
-killed_at_every_step(void)
+crash_at_every_step(void)
 {
-    static const uint64_t before[] = {3, 18}; /* the second: a snapshot */
+    static const uint64_t before[] = {3, 18}; /* 18: triggers a snapshot */
 
     for (size_t b = 0; b < 2; b++) {
-        for (uint64_t seed = 1; seed <= KILL_SEEDS; seed++) {
-            uint64_t steps = killed_publication(seed, before[b], 0);
+        for (uint64_t seed = 1; seed <= CRASH_SEEDS; seed++) {
+            uint64_t steps = publish_with_crash(seed, before[b], 0);
 
             CU_ASSERT_TRUE(steps > 15);
             for (uint64_t at = 1; at <= steps; at++) {
-                (void)killed_publication(seed, before[b], at);
+                (void)publish_with_crash(seed, before[b], at);
             }
         }
     }
 }
 
 static uint64_t
-term_after_a_long_cut(const bool *breaks)
+term_after_partition(const bool *breaks)
 {
     struct cluster *cl = cluster_new(3, 29, breaks);
-    int silent = (cluster_await_leader(cl) + 1) % 3;
+    int partitioned = (cluster_await_leader(cl) + 1) % 3;
     uint64_t term;
 
-    cl->nodes[silent].isolated = true;
+    cl->nodes[partitioned].isolated = true;
     cluster_run(cl, 3600 * SEC);
-    term = control_view(cl->nodes[silent].control).term;
+    term = control_view(cl->nodes[partitioned].control).term;
     cluster_free(cl);
     return term;
 }
 
 static int
-lost_at_power_loss(uint64_t seed, const bool *breaks)
+count_power_loss_violations(uint64_t seed, const bool *breaks)
 {
     struct cluster *cl = cluster_new(3, seed, breaks);
     int violations;
@@ -272,55 +273,55 @@
             cluster_start(cl, i);
         }
     }
-    check_recovers(cl, 100);
+    check_recovery(cl, 100);
     violations = cl->violations;
     cluster_free(cl);
     return violations;
 }
 
-/* The power goes everywhere at the moment when an operator reads "accepted".
- * A confirmation that did not wait for the disks is then worth nothing. */
+/* Guards against a confirmation sent before the entry is durable: all members
+ * lose power at the moment of the answer. */
 static void
 power_loss_right_after_the_answer(void)
 {
     for (uint64_t seed = 1; seed <= 20; seed++) {
-        CU_ASSERT_EQUAL(lost_at_power_loss(seed, NULL), 0);
+        CU_ASSERT_EQUAL(count_power_loss_violations(seed, NULL), 0);
     }
 }
 
-/* A member was cut off for an hour and comes back with an old log and a high
- * term.  If it could make the others follow its term, it would depose a leader
- * that all of them hear; operators would see publications fail. */
+/* Guards against a member that deposes a live leader: it comes back after an
+ * hour of partition with an old log and a high term.  Publications would fail
+ * during the election. */
 static void
-silent_member_with_a_high_term(void)
+partitioned_member_with_a_high_term(void)
 {
     struct cluster *cl = cluster_new(3, 5, NULL);
     int leader = cluster_await_leader(cl);
-    int silent = (leader + 1) % 3;
+    int partitioned = (leader + 1) % 3;
     struct storage *s = NULL;
     struct storage_found found;
     struct storage_options o = {
         .ops = fault_disk_ops(),
-        .disk = cl->nodes[silent].disk,
-        .member = cl->nodes[silent].name,
+        .disk = cl->nodes[partitioned].disk,
+        .member = cl->nodes[partitioned].name,
         .region = name_of("sk-east"),
     };
     char detail[DETAIL_SIZE];
 
-    cl->nodes[silent].isolated = true;
+    cl->nodes[partitioned].isolated = true;
     for (uint64_t r = 1; r <= 30; r++) {
         publish_until_accepted(cl, r);
     }
     cluster_run(cl, 3600 * SEC);
     CU_ASSERT_EQUAL(cluster_leader(cl), leader);
-    CU_ASSERT_TRUE(term_after_a_long_cut(NULL) < 9);
-    cluster_crash(cl, silent);
+    CU_ASSERT_TRUE(term_after_partition(NULL) < 9);
+    cluster_crash(cl, partitioned);
     CU_ASSERT_EQUAL(storage_open(&o, &s, &found, detail), STORAGE_OK);
     CU_ASSERT_EQUAL(storage_save_vote(s, 1000, name_of("")), STORAGE_OK);
     storage_found_free(&found);
     storage_close(s);
-    cluster_start(cl, silent);
-    cl->nodes[silent].isolated = false;
+    cluster_start(cl, partitioned);
+    cl->nodes[partitioned].isolated = false;
     for (uint64_t r = 31; r <= 60; r++) {
         cluster_publish(cl, leader, r, r - 1, r);
         cluster_run(cl, 200 * MSEC);
@@ -329,16 +330,15 @@
     }
     CU_ASSERT_EQUAL(cluster_leader(cl), leader);
     cluster_run(cl, 5 * SEC);
-    CU_ASSERT_EQUAL(version_of(cl, silent), 60);
-    no_violation(cl);
+    CU_ASSERT_EQUAL(version_of(cl, partitioned), 60);
+    assert_no_violation(cl);
     cluster_free(cl);
 }
 
-/* A member crashes, starts, and crashes again before it has caught up, while
- * another does the same.  What it confirmed before the first crash must not
- * depend on what it did between the two. */
+/* Guards against entries confirmed before a crash that are lost by a second
+ * crash: two members crash, start, and crash again before they caught up. */
 static void
-two_restarts_right_after_each_other(void)
+two_crashes_in_a_row(void)
 {
     for (uint64_t seed = 1; seed <= 20; seed++) {
         struct cluster *cl = cluster_new(3, seed, NULL);
@@ -360,14 +360,14 @@
             }
             cluster_run(cl, 2 * SEC);
         }
-        check_recovers(cl, 100);
-        no_violation(cl);
+        check_recovery(cl, 100);
+        assert_no_violation(cl);
         cluster_free(cl);
     }
 }
 
-/* The version that a follower without any gets first, after all members of a
- * cluster with @changes publications were restarted. */
+/* Restarts all members of a cluster with @changes publications; returns the
+ * first version that a follower without a configuration gets. */
 static uint64_t
 first_served(uint64_t changes, const bool *breaks, uint64_t *replies)
 {
@@ -396,15 +396,15 @@
     first = cl->follower_version;
     *replies = cl->follower_replies;
     if (breaks == NULL) {
-        no_violation(cl);
+        assert_no_violation(cl);
     }
     cluster_free(cl);
     return first;
 }
 
-/* All members restart after a thousand changes.  A follower that asks the
- * first member to come up must not get anything but the newest version: an
- * older one would be in force for a moment, then be replaced. */
+/* Guards against an old version that is in force for a moment: all members
+ * restart after a thousand changes, and a follower polls the first one that is
+ * up, before that member knows which entries are committed. */
 static void
 first_served_after_a_thousand_changes(void)
 {
@@ -414,11 +414,10 @@
     CU_ASSERT_EQUAL(replies, 1);
 }
 
-/* A member hears all but the leader, over a connection that something between
- * the two has lost track of.  It must not depose a leader that the others
- * hear, over and over. */
+/* Guards against repeated elections: one member receives nothing from the
+ * leader (a one-way partition) and campaigns again and again. */
 static void
-deaf_member(const bool *breaks, uint64_t *terms)
+run_one_way_partition(const bool *breaks, uint64_t *terms)
 {
     struct cluster *cl = cluster_new(3, 23, breaks);
     int leader = cluster_await_leader(cl);
@@ -433,25 +432,25 @@
         cluster_publish(cl, leader, 2, 1, 2);
         cluster_run(cl, SEC);
         CU_ASSERT_EQUAL(cl->answers[2].result, CONTROL_OK);
-        no_violation(cl);
+        assert_no_violation(cl);
     }
     cluster_free(cl);
 }
 
 static void
-deaf_member_does_not_disturb(void)
+one_way_partition_keeps_the_leader(void)
 {
     uint64_t terms = 0;
 
-    deaf_member(NULL, &terms);
+    run_one_way_partition(NULL, &terms);
     CU_ASSERT_EQUAL(terms, 0);
 }
 
-/* The disk of a member is lost.  With its old vote it could help a member that
- * was cut off to become leader without the accepted changes, which only the
- * lost disk and one other held. */
+/* Guards against a leader without the accepted changes: only member a, whose
+ * disk is then lost, and member b have them.  If a kept its vote, it could
+ * elect c, which was partitioned. */
 static void
-lost_disk(const bool *breaks, struct cluster **out)
+run_lost_disk(const bool *breaks, struct cluster **out)
 {
     struct cluster *cl = cluster_new(3, 11, breaks);
     int a = cluster_await_leader(cl);
@@ -489,19 +488,20 @@
 {
     struct cluster *cl = NULL;
 
-    lost_disk(NULL, &cl);
+    run_lost_disk(NULL, &cl);
     for (int i = 0; i < 3; i++) {
         CU_ASSERT_TRUE(control_view(cl->nodes[i].control).voter);
     }
-    check_recovers(cl, 100);
+    check_recovery(cl, 100);
     CU_ASSERT_EQUAL(version_of(cl, 0), 4);
-    no_violation(cl);
+    assert_no_violation(cl);
     cluster_free(cl);
 }
 
-/* After a disk was lost, somebody founds the empty folder as on the first day.
- * It then has the identity that the members know.  It must not elect the
- * member that was cut off, and still be filled by the others' leader. */
+/* Guards against a leader without the accepted changes: an operator founds the
+ * folder of a lost disk again, so it has the identity that the membership
+ * records.  The member must not elect a partitioned one, but must be able to
+ * catch up from a leader elected without it. */
 static void
 founded_again_by_mistake(void)
 {
@@ -523,102 +523,100 @@
     cluster_run(cl, 60 * SEC);
     CU_ASSERT_TRUE(cluster_leader(cl) < 0);
     cl->nodes[b].isolated = false;
-    check_recovers(cl, 100);
+    check_recovery(cl, 100);
     CU_ASSERT_EQUAL(version_of(cl, a), 4);
-    no_violation(cl);
+    assert_no_violation(cl);
     cluster_free(cl);
 }
 
-/* Two of three disks are lost, the second right after the first was replaced.
- * No majority is left that knows what was confirmed.  From the member that is
- * left, operators go on; its versions must be above all that instances have,
- * or they would ignore everything published from then on. */
+/* Guards against versions that instances ignore after a recovery: two of three
+ * disks are lost and operators recover the region from the third.  Its
+ * versions must be above all that instances have in force. */
 static void
 majority_lost_and_recovered(void)
 {
     struct cluster *cl = cluster_new(3, 41, NULL);
-    int left = cluster_await_leader(cl);
+    int survivor = cluster_await_leader(cl);
     uint64_t before;
 
     for (uint64_t r = 1; r <= 30; r++) {
         publish_until_accepted(cl, r);
     }
-    cluster_follower_poll(cl, left);
+    cluster_follower_poll(cl, survivor);
     cluster_run(cl, 2 * SEC);
     before = cl->follower_version;
     CU_ASSERT_EQUAL(before, 30);
     for (int i = 0; i < 3; i++) {
         cluster_crash(cl, i);
-        if (i != left) {
+        if (i != survivor) {
             cluster_wipe(cl, i);
         }
     }
-    cluster_recover(cl, left);
+    cluster_recover(cl, survivor);
     for (int i = 0; i < 3; i++) {
         cluster_start(cl, i);
     }
     cluster_run(cl, 10 * SEC);
-    CU_ASSERT_EQUAL(cluster_leader(cl), left);
+    CU_ASSERT_EQUAL(cluster_leader(cl), survivor);
     for (int i = 0; i < 3; i++) {
-        if (i != left) {
-            cluster_change(cl, left, 40 + (uint64_t)i, CHANGE_ADD, i);
+        if (i != survivor) {
+            cluster_change(cl, survivor, 40 + (uint64_t)i, CHANGE_ADD, i);
             cluster_run(cl, 10 * SEC);
             CU_ASSERT_TRUE(control_view(cl->nodes[i].control).voter);
         }
     }
-    check_recovers(cl, 50);
-    cluster_follower_poll(cl, left);
+    check_recovery(cl, 50);
+    cluster_follower_poll(cl, survivor);
     cluster_run(cl, 2 * SEC);
     CU_ASSERT_TRUE(cl->follower_version > before);
-    CU_ASSERT_EQUAL(cl->follower_version, version_of(cl, left));
-    no_violation(cl);
+    CU_ASSERT_EQUAL(cl->follower_version, version_of(cl, survivor));
+    assert_no_violation(cl);
     cluster_free(cl);
 }
 
-/* A member that was away longer than the log reaches back gets a snapshot in
- * pieces.  Were it left behind, the next loss of a member would stop all
- * publications. */
+/* Guards against a member that never catches up, so that the next loss of a
+ * member would stop publications: it was down for longer than the log in
+ * memory reaches back, and gets a snapshot in chunks. */
 static void
 members_join_by_snapshot(void)
 {
     struct cluster *cl = cluster_new(4, 13, NULL);
     int leader = cluster_await_leader(cl);
-    int away = (leader + 1) % 4;
+    int down = (leader + 1) % 4;
 
-    cluster_crash(cl, away);
+    cluster_crash(cl, down);
     for (uint64_t r = 1; r <= 60; r++) {
         publish_until_accepted(cl, r);
     }
     cl->loss_permille = 100;
-    cluster_start(cl, away);
+    cluster_start(cl, down);
     cluster_run(cl, 60 * SEC);
-    CU_ASSERT_EQUAL(version_of(cl, away), 60);
+    CU_ASSERT_EQUAL(version_of(cl, down), 60);
     cl->loss_permille = 0;
     leader = cluster_await_leader(cl);
-    away = (leader + 1) % 4;
-    cluster_change(cl, leader, 100, CHANGE_REMOVE, away);
+    down = (leader + 1) % 4;
+    cluster_change(cl, leader, 100, CHANGE_REMOVE, down);
     cluster_run(cl, 2 * SEC);
     CU_ASSERT_EQUAL(cl->answers[100].result, CONTROL_OK);
     cluster_run(cl, 20 * SEC);
     CU_ASSERT_EQUAL(cluster_leader(cl), leader);
-    cluster_change(cl, leader, 101, CHANGE_ADD, away);
+    cluster_change(cl, leader, 101, CHANGE_ADD, down);
     cluster_run(cl, 5 * SEC);
     CU_ASSERT_EQUAL(cl->answers[101].result, CONTROL_OK);
-    CU_ASSERT_TRUE(control_view(cl->nodes[away].control).voter);
+    CU_ASSERT_TRUE(control_view(cl->nodes[down].control).voter);
     cluster_change(cl, leader, 102, CHANGE_REMOVE, leader);
     cluster_run(cl, 5 * SEC);
     CU_ASSERT_EQUAL(cl->answers[102].result, CONTROL_NO_LEADER);
     CU_ASSERT_NOT_EQUAL(cluster_leader(cl), leader);
-    check_recovers(cl, 110);
-    no_violation(cl);
+    check_recovery(cl, 110);
+    assert_no_violation(cl);
     cluster_free(cl);
 }
 
-/* A leader is cut off with its operators.  It must not go on as if it led:
- * what it reads may be replaced on the other side, and what it takes would
- * never be accepted. */
+/* Guards against stale reads and publications that are never accepted, at a
+ * leader that is partitioned together with its operators. */
 static void
-cut_off_leader_steps_down(void)
+partitioned_leader_steps_down(void)
 {
     struct cluster *cl = cluster_new(3, 17, NULL);
     int old = cluster_await_leader(cl);
@@ -638,13 +636,13 @@
     cluster_publish(cl, leader, 4, 1, 4);
     cluster_run(cl, SEC);
     CU_ASSERT_EQUAL(cl->answers[4].result, CONTROL_OK);
-    check_recovers(cl, 100);
-    no_violation(cl);
+    check_recovery(cl, 100);
+    assert_no_violation(cl);
     cluster_free(cl);
 }
 
-/* The disks of two members take seconds for a sync.  Publications wait for
- * them, but the leader must not step down over it and make matters worse. */
+/* Guards against a leader that steps down because disks are slow: syncs take
+ * seconds, so publications wait, but heartbeats must not. */
 static void
 slow_disks_keep_the_leader(void)
 {
@@ -660,16 +658,15 @@
     cluster_run(cl, 25 * SEC);
     CU_ASSERT_EQUAL(control_view(cl->nodes[leader].control).term, term);
     CU_ASSERT_EQUAL(version_of(cl, leader), 2);
-    no_violation(cl);
+    assert_no_violation(cl);
     cluster_free(cl);
 }
 
-/* The leader's disk answers nothing for some seconds.  A majority of the
- * others has the publication on disk: an operator that waited for the leader's
- * own would take the region for down.  What was confirmed survives the loss of
- * the leader with all that its disk had not done. */
+/* Guards against publications that wait for the leader's own disk, which
+ * stalls, although a majority has the entry on disk; and against the loss of
+ * such an entry when the leader crashes and its disk is lost. */
 static void
-stalled_disk_of_the_leader_holds_nothing_up(void)
+stalled_leader_disk_does_not_delay_commits(void)
 {
     for (uint64_t seed = 51; seed < 61; seed++) {
         struct cluster *cl = cluster_new(5, seed, NULL);
@@ -687,17 +684,16 @@
         cluster_wipe(cl, leader);
         cluster_run(cl, 5 * SEC);
         CU_ASSERT_TRUE(version_of(cl, cluster_await_leader(cl)) >= 2);
-        check_recovers(cl, 100);
-        no_violation(cl);
+        check_recovery(cl, 100);
+        assert_no_violation(cl);
         cluster_free(cl);
     }
 }
 
-/* The leader's process is stopped for a minute and wakes with messages, reads
- * and publications before it.  It must notice that another leads before it
- * tells anybody anything. */
+/* Guards against answers from a deposed leader: its process is paused for a
+ * minute, and resumes with messages, a read and a publication queued. */
 static void
-paused_leader_wakes(void)
+paused_leader_resumes(void)
 {
     struct cluster *cl = cluster_new(3, 43, NULL);
     int old = cluster_await_leader(cl);
@@ -726,16 +722,16 @@
     CU_ASSERT_NOT_EQUAL(cl->answers[4].result, CONTROL_OK);
     leader = cluster_await_leader(cl);
     CU_ASSERT_NOT_EQUAL(leader, old);
-    check_recovers(cl, 100);
+    check_recovery(cl, 100);
     CU_ASSERT_EQUAL(version_of(cl, old), 3);
-    no_violation(cl);
+    assert_no_violation(cl);
     cluster_free(cl);
 }
 
-/* A planned stop of the leader while operators publish.  Without a handover
- * they would wait out an election timeout, or be told "unknown". */
+/* Guards against a planned stop of the leader that blocks publications for an
+ * election timeout, or leaves their outcome unknown. */
 static void
-planned_stop_hands_over(void)
+planned_stop_transfers_leadership(void)
 {
     struct cluster *cl = cluster_new(3, 19, NULL);
     int old = cluster_await_leader(cl);
@@ -750,13 +746,13 @@
     CU_ASSERT_NOT_EQUAL(cluster_leader(cl), old);
     CU_ASSERT_TRUE(cluster_leader(cl) >= 0);
     cluster_crash(cl, old);
-    check_recovers(cl, 100);
-    no_violation(cl);
+    check_recovery(cl, 100);
+    assert_no_violation(cl);
     cluster_free(cl);
 }
 
-/* Anybody may read.  If each read made the leader send to all members, one
- * client in a loop would use up the bytes that control may spend. */
+/* Guards against one client that reads in a loop and so makes the leader send
+ * to all members with each read, beyond control's traffic budget. */
 static void
 reads_share_rounds(void)
 {
@@ -779,14 +775,14 @@
         CU_ASSERT_TRUE(cl->answers[r].done);
         CU_ASSERT_EQUAL(cl->answers[r].result, CONTROL_OK);
     }
-    no_violation(cl);
+    assert_no_violation(cl);
     cluster_free(cl);
 }
 
-/* An entry instance reports neighbours by the thousand that do not exist.  A
- * real one that asks must still be served. */
+/* Guards against an instance that gets no configuration because another one
+ * reported more instances than control keeps. */
 static void
-reported_followers_do_not_crowd_out(void)
+reported_followers_do_not_block_polls(void)
 {
     struct cluster *cl = cluster_new(3, 53, NULL);
     int leader = cluster_await_leader(cl);
@@ -808,11 +804,11 @@
     cluster_follower_poll(cl, leader);
     cluster_run(cl, SEC);
     CU_ASSERT_EQUAL(cl->follower_version, 1);
-    no_violation(cl);
+    assert_no_violation(cl);
     cluster_free(cl);
 }
 
-/* A message of one kind with the same number in all fields that matter. */
+/* A message of a kind, with the same number in all relevant fields. */
 static struct msg
 forged(enum msg_kind kind, uint64_t n)
 {
@@ -851,9 +847,9 @@
     return m;
 }
 
-/* An entry instance, or somebody in its name, sends what only members send,
- * and a member sends garbled numbers.  The term must not move: saved and
- * spread, a huge one would end all elections for good. */
+/* Guards against forged or corrupted messages that raise the term: a term near
+ * UINT64_MAX would be saved and spread, and no election could follow.  Sent in
+ * the name of an entry instance, and of a member with huge numbers. */
 static void
 forged_messages_change_nothing(void)
 {
@@ -881,14 +877,14 @@
     CU_ASSERT_EQUAL(control_view(cl->nodes[leader].control).term, term);
     CU_ASSERT_TRUE(
         control_view(cl->nodes[leader].control).counters.messages_bad > 50);
-    check_recovers(cl, 100);
-    no_violation(cl);
+    check_recovery(cl, 100);
+    assert_no_violation(cl);
     cluster_free(cl);
 }
 
 /* Random schedules. */
 static void
-publish_something(struct cluster *cl, uint64_t r)
+publish_at_random(struct cluster *cl, uint64_t r)
 {
     int leader = cluster_leader(cl);
     int at = leader >= 0 && cluster_random(cl, 4) > 0
@@ -904,7 +900,7 @@
 }
 
 static void
-disturb(struct cluster *cl)
+inject_random_fault(struct cluster *cl)
 {
     int at = (int)cluster_random(cl, (uint64_t)cl->n);
 
@@ -962,7 +958,7 @@
     return true;
 }
 
-/* A disk is lost while all others are there and none is being replaced. */
+/* Loses a disk and has it replaced, provided all members are up and voters. */
 static void
 lose_a_disk(struct cluster *cl, uint64_t r)
 {
@@ -992,7 +988,7 @@
         uint64_t what = cluster_random(cl, 17);
 
         if (what < 8) {
-            publish_something(cl, r++);
+            publish_at_random(cl, r++);
         }
         else if (what < 10) {
             cluster_read(cl, (int)cluster_random(cl, (uint64_t)cl->n), r++);
@@ -1011,14 +1007,15 @@
             lose_a_disk(cl, r++);
         }
         else {
-            disturb(cl);
+            inject_random_fault(cl);
         }
         cluster_run(cl, (int64_t)cluster_random(cl, 800000));
     }
     return cl;
 }
 
-/* A member that is still to be replaced is, as its operator would do. */
+/* Ends the faults, and replaces members without a vote as an operator would.
+ */
 static void
 finish_replacement(struct cluster *cl)
 {
@@ -1038,8 +1035,8 @@
     }
 }
 
-/* Any of it together and twice: messages lost, late, doubled and out of order,
- * members that crash and lose what was not synced, cuts, lost disks. */
+/* Combined faults: messages that are lost, delayed, duplicated and reordered,
+ * crashes that lose unsynced writes, partitions, pauses and lost disks. */
 static void
 random_schedules(void)
 {
@@ -1049,70 +1046,69 @@
         struct cluster *cl = random_schedule(seed, NULL);
 
         finish_replacement(cl);
-        check_recovers(cl, 4001);
+        check_recovery(cl, 4001);
         if (cl->violations > 0) {
             printf("\n    seed %llu", (unsigned long long)seed);
         }
         published += cl->confirmed_version;
-        no_violation(cl);
+        assert_no_violation(cl);
         cluster_free(cl);
     }
     CU_ASSERT_TRUE(published > (uint64_t)SCHEDULES * 5);
 }
 
 static bool
-schedules_notice(enum control_break which)
+schedules_detect(enum control_break which)
 {
     bool breaks[CONTROL_BREAKS] = {false};
-    bool noticed = false;
+    bool detected = false;
 
     breaks[which] = true;
-    for (uint64_t seed = 1; seed <= BREAK_SCHEDULES && !noticed; seed++) {
+    for (uint64_t seed = 1; seed <= BREAK_SCHEDULES && !detected; seed++) {
         struct cluster *cl = random_schedule(seed, breaks);
 
         if (cl->violations == 0) {
             finish_replacement(cl);
-            check_recovers(cl, 4001);
+            check_recovery(cl, 4001);
         }
-        noticed = cl->violations > 0;
-        if (noticed) {
+        detected = cl->violations > 0;
+        if (detected) {
             printf("\n    break %d, seed %llu: %s", (int)which,
                    (unsigned long long)seed, cl->first_violation);
         }
         cluster_free(cl);
     }
-    return noticed;
+    return detected;
 }
 
-/* The checks themselves are checked: members that decide wrongly on purpose
- * must be noticed. */
+/* Proves that the checks work: each injected fault must be detected. */
 static void
-wrong_decisions_are_noticed(void)
+injected_faults_are_detected(void)
 {
     bool breaks[CONTROL_BREAKS] = {false};
     struct cluster *cl = NULL;
     uint64_t number = 0;
 
     breaks[CONTROL_BREAK_ACK_BEFORE_SYNC] = true;
-    CU_ASSERT_TRUE(lost_at_power_loss(1, breaks) > 0);
+    CU_ASSERT_TRUE(count_power_loss_violations(1, breaks) > 0);
     breaks[CONTROL_BREAK_ACK_BEFORE_SYNC] = false;
-    CU_ASSERT_TRUE(schedules_notice(CONTROL_BREAK_VOTE_TWICE));
-    CU_ASSERT_TRUE(schedules_notice(CONTROL_BREAK_ANY_LOG));
-    CU_ASSERT_TRUE(schedules_notice(CONTROL_BREAK_READ_WITHOUT_ROUND));
-    CU_ASSERT_TRUE(schedules_notice(CONTROL_BREAK_SERVE_UNCOMMITTED));
-    CU_ASSERT_TRUE(schedules_notice(CONTROL_BREAK_FORGET_REQUESTS));
+    CU_ASSERT_TRUE(schedules_detect(CONTROL_BREAK_VOTE_TWICE));
+    CU_ASSERT_TRUE(schedules_detect(CONTROL_BREAK_ANY_LOG));
+    CU_ASSERT_TRUE(schedules_detect(CONTROL_BREAK_READ_WITHOUT_ROUND));
+    CU_ASSERT_TRUE(schedules_detect(CONTROL_BREAK_SERVE_UNCOMMITTED));
+    CU_ASSERT_TRUE(schedules_detect(CONTROL_BREAK_FORGET_REQUESTS));
     breaks[CONTROL_BREAK_SERVE_AFTER_RESTART] = true;
     CU_ASSERT_TRUE(first_served(30, breaks, &number) < 30);
     breaks[CONTROL_BREAK_SERVE_AFTER_RESTART] = false;
     breaks[CONTROL_BREAK_NO_STICKINESS] = true;
-    deaf_member(breaks, &number);
+    run_one_way_partition(breaks, &number);
     CU_ASSERT_TRUE(number > 0);
     breaks[CONTROL_BREAK_NO_STICKINESS] = false;
     breaks[CONTROL_BREAK_NO_PRE_VOTE] = true;
-    CU_ASSERT_TRUE(term_after_a_long_cut(breaks) > 100);
+    CU_ASSERT_TRUE(term_after_partition(breaks) > 100);
     breaks[CONTROL_BREAK_NO_PRE_VOTE] = false;
     breaks[CONTROL_BREAK_COUNT_ANY_DISK] = true;
-    lost_disk(breaks, &cl);
+    run_lost_disk(breaks, &cl);
     CU_ASSERT_TRUE(cl->violations > 0);
     cluster_free(cl);
 }
@@ -1146,41 +1142,43 @@
 void
 suite_control(void)
 {
-    check_add("control", "publishes_to_all", publishes_to_all);
-    check_add("control", "equal_bases_race", equal_bases_race);
+    check_add("control", "publications_reach_all_members",
+              publications_reach_all_members);
+    check_add("control", "concurrent_publications_from_one_base",
+              concurrent_publications_from_one_base);
     check_add("control", "resends_get_the_first_answer",
               resends_get_the_first_answer);
-    check_add("control", "killed_at_every_step", killed_at_every_step);
+    check_add("control", "crash_at_every_step", crash_at_every_step);
     check_add("control", "power_loss_right_after_the_answer",
               power_loss_right_after_the_answer);
-    check_add("control", "silent_member_with_a_high_term",
-              silent_member_with_a_high_term);
-    check_add("control", "two_restarts_right_after_each_other",
-              two_restarts_right_after_each_other);
+    check_add("control", "partitioned_member_with_a_high_term",
+              partitioned_member_with_a_high_term);
+    check_add("control", "two_crashes_in_a_row", two_crashes_in_a_row);
     check_add("control", "first_served_after_a_thousand_changes",
               first_served_after_a_thousand_changes);
-    check_add("control", "deaf_member_does_not_disturb",
-              deaf_member_does_not_disturb);
+    check_add("control", "one_way_partition_keeps_the_leader",
+              one_way_partition_keeps_the_leader);
     check_add("control", "lost_disk_does_not_vote", lost_disk_does_not_vote);
     check_add("control", "founded_again_by_mistake", founded_again_by_mistake);
     check_add("control", "majority_lost_and_recovered",
               majority_lost_and_recovered);
     check_add("control", "members_join_by_snapshot", members_join_by_snapshot);
-    check_add("control", "cut_off_leader_steps_down",
-              cut_off_leader_steps_down);
+    check_add("control", "partitioned_leader_steps_down",
+              partitioned_leader_steps_down);
     check_add("control", "slow_disks_keep_the_leader",
               slow_disks_keep_the_leader);
-    check_add("control", "stalled_disk_of_the_leader_holds_nothing_up",
-              stalled_disk_of_the_leader_holds_nothing_up);
-    check_add("control", "paused_leader_wakes", paused_leader_wakes);
-    check_add("control", "planned_stop_hands_over", planned_stop_hands_over);
+    check_add("control", "stalled_leader_disk_does_not_delay_commits",
+              stalled_leader_disk_does_not_delay_commits);
+    check_add("control", "paused_leader_resumes", paused_leader_resumes);
+    check_add("control", "planned_stop_transfers_leadership",
+              planned_stop_transfers_leadership);
     check_add("control", "forged_messages_change_nothing",
               forged_messages_change_nothing);
     check_add("control", "reads_share_rounds", reads_share_rounds);
-    check_add("control", "reported_followers_do_not_crowd_out",
-              reported_followers_do_not_crowd_out);
+    check_add("control", "reported_followers_do_not_block_polls",
+              reported_followers_do_not_block_polls);
     check_add("control", "random_schedules", random_schedules);
-    check_add("control", "wrong_decisions_are_noticed",
-              wrong_decisions_are_noticed);
+    check_add("control", "injected_faults_are_detected",
+              injected_faults_are_detected);
     check_add("control", "delta_round_trips", delta_round_trips);
 }
--- a/tests/enroll_test.c
+++ b/tests/enroll_test.c
@@ -1,4 +1,4 @@
-/* Members of control that come and go without an operator. */
+/* Automatic membership of control members, and ranked publications. */
 #include <stdio.h>
 #include <string.h>
 #include <xxhash.h>
@@ -9,9 +9,9 @@
 #define SEC USEC_PER_SEC
 #define MSEC USEC_PER_MSEC
 
-/* All members start anew under the rules of enroll.c. */
+/* A cluster with automatic membership, see enroll.c. */
 static struct cluster *
-enrolling(int n, uint64_t seed)
+new_enroll_cluster(int n, uint64_t seed)
 {
     struct cluster *cl = cluster_new(n, seed, NULL);
 
@@ -29,7 +29,7 @@
 }
 
 static bool
-votes(const struct cluster *cl, int i)
+is_voter(const struct cluster *cl, int i)
 {
     return control_view(cl->nodes[i].control).voter;
 }
@@ -47,7 +47,7 @@
 }
 
 static void
-no_violation(const struct cluster *cl)
+assert_no_violation(const struct cluster *cl)
 {
     if (cl->violations > 0) {
         (void)fprintf(stderr, "enroll: %s\n", cl->first_violation);
@@ -55,13 +55,13 @@
     CU_ASSERT_EQUAL(cl->violations, 0);
 }
 
-/* A member comes back at its address with an empty disk.  Nobody tells the
- * others; without them doing something about it the next loss would stop all
- * changes. */
+/* Guards against a member that stays without a vote, so that the next loss
+ * would stop all changes: it came back at its address with an empty disk, and
+ * no operator intervenes. */
 static void
-empty_disk_learns_and_votes_again(void)
+empty_disk_catches_up_and_votes_again(void)
 {
-    struct cluster *cl = enrolling(3, 5);
+    struct cluster *cl = new_enroll_cluster(3, 5);
     int wiped = (cluster_await_leader(cl) + 1) % 3;
 
     publish(cl, 1);
@@ -70,22 +70,22 @@
     publish(cl, 2);
     cluster_start(cl, wiped);
     cluster_run(cl, 3 * SEC);
-    CU_ASSERT_TRUE(votes(cl, wiped));
+    CU_ASSERT_TRUE(is_voter(cl, wiped));
     CU_ASSERT_EQUAL(control_view(cl->nodes[wiped].control).version, 2);
     cluster_crash(cl, (wiped + 1) % 3);
     publish(cl, 3);
-    no_violation(cl);
+    assert_no_violation(cl);
     cluster_free(cl);
 }
 
-/* The member that confirmed a change loses its disk right after, while the one
- * that has not heard of the change comes back.  These two are a majority by
- * name; together they must not lead, and the change must not be gone. */
+/* Guards against the loss of a confirmed change: a member that confirmed it
+ * loses its disk right after, while a member without the change comes back.
+ * These two are a majority by name, but must not elect a leader. */
 static void
 wiped_right_after_the_confirmation(void)
 {
     for (uint64_t seed = 20; seed < 30; seed++) {
-        struct cluster *cl = enrolling(3, seed);
+        struct cluster *cl = new_enroll_cluster(3, seed);
         int leader = cluster_await_leader(cl);
         int behind = (leader + 1) % 3;
         int other = (leader + 2) % 3;
@@ -102,34 +102,34 @@
         CU_ASSERT_TRUE(cluster_leader(cl) < 0);
         cluster_start(cl, other);
         cluster_run(cl, 5 * SEC);
-        CU_ASSERT_TRUE(votes(cl, leader));
+        CU_ASSERT_TRUE(is_voter(cl, leader));
         publish(cl, 3);
         CU_ASSERT_EQUAL(control_view(cl->nodes[behind].control).version, 3);
-        no_violation(cl);
+        assert_no_violation(cl);
         cluster_free(cl);
     }
 }
 
-/* A machine is gone for good.  It is taken out while three others vote, and
- * when it comes back after all it is let in again. */
+/* Guards against a dead member that counts as a voter forever: it is removed
+ * while three other voters are up, and added again when it comes back. */
 static void
 silent_member_is_removed_and_comes_back(void)
 {
-    struct cluster *cl = enrolling(4, 7);
-    int gone = (cluster_await_leader(cl) + 1) % 4;
+    struct cluster *cl = new_enroll_cluster(4, 7);
+    int down = (cluster_await_leader(cl) + 1) % 4;
 
     publish(cl, 1);
-    cluster_crash(cl, gone);
+    cluster_crash(cl, down);
     cluster_run(cl, 6 * SEC);
     CU_ASSERT_EQUAL(
         control_fsm(cl->nodes[cluster_leader(cl)].control)->members.n_members,
         3);
     publish(cl, 2);
-    cluster_start(cl, gone);
+    cluster_start(cl, down);
     cluster_run(cl, 4 * SEC);
-    CU_ASSERT_TRUE(votes(cl, gone));
-    CU_ASSERT_EQUAL(control_view(cl->nodes[gone].control).version, 2);
-    no_violation(cl);
+    CU_ASSERT_TRUE(is_voter(cl, down));
+    CU_ASSERT_EQUAL(control_view(cl->nodes[down].control).version, 2);
+    assert_no_violation(cl);
     cluster_free(cl);
 }
 
@@ -141,21 +141,21 @@
     return control_fsm(leader)->members.n_members;
 }
 
-/* A member comes back after it was removed, and its first answer takes longer
- * than the change that let it in: taken out at once each time, it never votes
- * again, and two lost disks of the other four leave no majority. */
+/* Guards against a returning member that is removed again at once, each time,
+ * because its first reply takes longer than the change that added it.  Without
+ * its vote, a loss of two other disks leaves no majority. */
 static void
-member_that_comes_back_has_time_to_answer(void)
+returning_member_is_not_removed_before_its_reply(void)
 {
-    struct cluster *cl = enrolling(4, 7);
-    int gone = (cluster_await_leader(cl) + 1) % 4;
+    struct cluster *cl = new_enroll_cluster(4, 7);
+    int down = (cluster_await_leader(cl) + 1) % 4;
 
     publish(cl, 1);
-    cl->nodes[gone].isolated = true;
+    cl->nodes[down].isolated = true;
     cluster_run(cl, 6 * SEC);
     CU_ASSERT_EQUAL(count_members(cl), 3);
-    cl->nodes[gone].isolated = false;
-    cl->nodes[gone].drops_from = cluster_leader(cl);
+    cl->nodes[down].isolated = false;
+    cl->nodes[down].drops_from = cluster_leader(cl);
     for (int i = 0; i < 200 && count_members(cl) < 4; i++) {
         cluster_run(cl, 10 * MSEC);
     }
@@ -163,37 +163,37 @@
         CU_ASSERT_EQUAL(count_members(cl), 4);
         cluster_run(cl, 10 * MSEC);
     }
-    cl->nodes[gone].drops_from = CLUSTER_NODES_MAX;
+    cl->nodes[down].drops_from = CLUSTER_NODES_MAX;
     cluster_run(cl, 4 * SEC);
-    CU_ASSERT_TRUE(votes(cl, gone));
-    no_violation(cl);
+    CU_ASSERT_TRUE(is_voter(cl, down));
+    assert_no_violation(cl);
     cluster_free(cl);
 }
 
-/* With two voters up a third that is silent stays a member: were it taken out,
- * the next loss would leave one of two. */
+/* Guards against the removal of a silent third member while two voters are up:
+ * the next loss would leave one of two voters, which is no majority. */
 static void
 last_three_members_are_kept(void)
 {
-    struct cluster *cl = enrolling(3, 9);
-    int gone = (cluster_await_leader(cl) + 1) % 3;
+    struct cluster *cl = new_enroll_cluster(3, 9);
+    int down = (cluster_await_leader(cl) + 1) % 3;
 
-    cluster_crash(cl, gone);
+    cluster_crash(cl, down);
     cluster_run(cl, 10 * SEC);
     CU_ASSERT_EQUAL(
         control_fsm(cl->nodes[cluster_leader(cl)].control)->members.n_members,
         3);
-    no_violation(cl);
+    assert_no_violation(cl);
     cluster_free(cl);
 }
 
-/* Disks are lost, members die and are cut off, by seed, while changes are
- * published: what was confirmed stays, and at the end all vote. */
+/* Guards against lost changes and lost votes under random faults by seed:
+ * crashes, lost disks and partitions while changes are published. */
 static void
-losses_in_series(void)
+random_losses(void)
 {
     for (uint64_t seed = 100; seed < 130; seed++) {
-        struct cluster *cl = enrolling(4, seed);
+        struct cluster *cl = new_enroll_cluster(4, seed);
         uint64_t r = 1;
 
         for (int round = 0; round < 8; round++) {
@@ -216,9 +216,9 @@
         }
         cluster_run(cl, 10 * SEC);
         for (int i = 0; i < 4; i++) {
-            CU_ASSERT_TRUE(votes(cl, i));
+            CU_ASSERT_TRUE(is_voter(cl, i));
         }
-        no_violation(cl);
+        assert_no_violation(cl);
         cluster_free(cl);
     }
 }
@@ -226,7 +226,7 @@
 /* Ranked publications */
 
 static struct rec_publish
-ranked(uint64_t rank, const char *text)
+make_ranked(uint64_t rank, const char *text)
 {
     struct blob *b = blob_new(text, strlen(text));
     struct rec_publish p = {.rank = rank,
@@ -243,7 +243,7 @@
 static struct fsm_outcome
 apply(struct fsm *f, uint64_t rank, const char *text)
 {
-    struct rec_publish p = ranked(rank, text);
+    struct rec_publish p = make_ranked(rank, text);
     struct fsm_outcome o = fsm_publish(f, f->version + 2, 1, &p);
 
     blob_unref(p.request_text);
@@ -252,10 +252,11 @@
     return o;
 }
 
-/* Operators send whole configurations under numbers of their own, again after
- * lost answers, late, and two at once.  The highest stays in force. */
+/* Guards against a lower rank that replaces a higher one: operators send whole
+ * configurations with ranks, again after lost answers, late, or concurrently.
+ */
 static void
-highest_rank_stays(void)
+highest_rank_wins(void)
 {
     struct fsm f;
     struct blob *state;
@@ -282,29 +283,29 @@
 }
 
 static int64_t
-until_leader_us(struct cluster *cl, int64_t patience_us)
+wait_for_leader_us(struct cluster *cl, int64_t timeout_us)
 {
     int64_t step_us = 5 * USEC_PER_MSEC;
     int64_t waited_us = 0;
 
-    while (cluster_leader(cl) < 0 && waited_us < patience_us) {
+    while (cluster_leader(cl) < 0 && waited_us < timeout_us) {
         cluster_run(cl, step_us);
         waited_us += step_us;
     }
     return waited_us;
 }
 
-/* All members lose power and come back within a tenth of a second of each
- * other, as after a power cut of a whole region.  Each campaigns at once, and
- * where two do so together neither wins: until the next attempt no broker
- * learns its configuration and all callers are refused. */
+/* Guards against a slow first election after a power loss of the whole region:
+ * all members start within a tenth of a second, and if two campaign together
+ * neither wins.  Without a leader brokers get no configuration and refuse all
+ * callers. */
 static void
-leader_soon_after_all_lost_power(void)
+leader_soon_after_region_power_loss(void)
 {
     int64_t longest_us = 0;
 
     for (uint64_t seed = 1; seed <= 100; seed++) {
-        struct cluster *cl = enrolling(3, seed);
+        struct cluster *cl = new_enroll_cluster(3, seed);
         int64_t waited_us;
 
         cl->options.startup_timeout_us = 40 * USEC_PER_MSEC;
@@ -319,9 +320,9 @@
             cluster_run(cl, (int64_t)(seed * 7919 % 50) * USEC_PER_MSEC);
             cluster_start(cl, (int)((seed + (uint64_t)i) % 3));
         }
-        waited_us = until_leader_us(cl, 2 * SEC);
+        waited_us = wait_for_leader_us(cl, 2 * SEC);
         longest_us = waited_us > longest_us ? waited_us : longest_us;
-        no_violation(cl);
+        assert_no_violation(cl);
         cluster_free(cl);
     }
     CU_ASSERT_TRUE(longest_us <= 250 * USEC_PER_MSEC);
@@ -331,13 +332,13 @@
 suite_enroll(void)
 {
 #define TEST(name) check_add("enroll", #name, name)
-    TEST(empty_disk_learns_and_votes_again);
+    TEST(empty_disk_catches_up_and_votes_again);
     TEST(wiped_right_after_the_confirmation);
     TEST(silent_member_is_removed_and_comes_back);
-    TEST(member_that_comes_back_has_time_to_answer);
+    TEST(returning_member_is_not_removed_before_its_reply);
     TEST(last_three_members_are_kept);
-    TEST(losses_in_series);
-    TEST(highest_rank_stays);
-    TEST(leader_soon_after_all_lost_power);
+    TEST(random_losses);
+    TEST(highest_rank_wins);
+    TEST(leader_soon_after_region_power_loss);
 #undef TEST
 }
--- a/tests/follow_test.c
+++ b/tests/follow_test.c
@@ -1,4 +1,4 @@
-/* Configurations on their way from control to every instance. */
+/* Distribution of configurations from control to all entry instances. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -18,15 +18,15 @@
 
 #define SEC USEC_PER_SEC
 
-/* Fake control processes: what each has, and whether it talks. */
+/* Fake control processes: newest version, and whether the process responds. */
 static struct {
     uint64_t version;
-    bool silent;
+    bool unresponsive;
 } controls[CONTROLS];
 
 static const struct name names[CONTROLS] = {{"c0"}, {"c1"}, {"c2"}};
 
-/* Requests that wait for something newer. */
+/* Open long polls. */
 static struct {
     int node;
     int control;
@@ -36,27 +36,29 @@
 } polls[POLLS_MAX];
 static int n_polls;
 
-static uint64_t asked;
+static uint64_t n_requests;
 
-/* Texts and changes sent to each node. */
+/* Texts sent to each node, whole or as a delta. */
 static uint64_t texts[NODES];
 
-/* What control has been told of each node, by itself or by its zone. */
-static uint64_t told[NODES];
+/* Newest version of each node that was reported to control, by the node or by
+ * another one of its zone. */
+static uint64_t reported[NODES];
 
 static void
-note_told(const struct enet *n, struct name instance, uint64_t version)
+record_version(const struct enet *n, struct name instance, uint64_t version)
 {
     for (int i = 0; i < NODES; i++) {
-        if (name_equal(n->nodes[i].name, instance) && version > told[i]) {
-            told[i] = version;
+        if (name_equal(n->nodes[i].name, instance) && version > reported[i]) {
+            reported[i] = version;
         }
     }
 }
 
-/* Changes sent in place of whole texts, and how many of them are garbled. */
-static uint64_t changes;
-static uint64_t garble;
+/* Deltas sent in place of whole texts, and how many of the next ones to
+ * corrupt. */
+static uint64_t n_deltas;
+static uint64_t n_corrupt;
 
 static struct blob *
 text_of(uint64_t version)
@@ -71,7 +73,7 @@
 }
 
 static void
-fill_change(struct rec_config_reply *r, uint64_t have, struct blob *text)
+fill_delta(struct rec_config_reply *r, uint64_t have, struct blob *text)
 {
     struct blob *old = text_of(have);
 
@@ -79,11 +81,11 @@
     r->from_version = have;
     r->digest = delta_digest(text);
     r->config = textpack_make(old, text);
-    if (garble > 0) {
-        garble--;
+    if (n_corrupt > 0) {
+        n_corrupt--;
         r->config->data[r->config->size - 1] ^= 1;
     }
-    changes++;
+    n_deltas++;
     blob_unref(old);
 }
 
@@ -102,7 +104,7 @@
     }
     texts[polls[at].node]++;
     if (polls[at].has_text) {
-        fill_change(&m.u.config_reply, polls[at].have, text);
+        fill_delta(&m.u.config_reply, polls[at].have, text);
     }
     else {
         m.u.config_reply.config = blob_ref(text);
@@ -117,26 +119,26 @@
     if (m->kind == MSG_CONFIG_REQUEST) {
         const struct rec_config_request *r = &m->u.config_request;
 
-        note_told(n, n->nodes[from].name, r->have_version);
+        record_version(n, n->nodes[from].name, r->have_version);
         for (size_t i = 0; i < r->n_members; i++) {
-            note_told(n, r->members[i].instance, r->members[i].version);
+            record_version(n, r->members[i].instance, r->members[i].version);
         }
     }
     for (int i = 0; i < CONTROLS; i++) {
         if (name_equal(names[i], to) && m->kind == MSG_CONFIG_REQUEST &&
-            !controls[i].silent && n_polls < POLLS_MAX) {
+            !controls[i].unresponsive && n_polls < POLLS_MAX) {
             polls[n_polls].node = from;
             polls[n_polls].control = i;
             polls[n_polls].has_text = m->u.config_request.has_text != 0;
             polls[n_polls].version_only =
                 m->u.config_request.version_only != 0;
             polls[n_polls++].have = m->u.config_request.have_version;
-            asked++;
+            n_requests++;
         }
     }
 }
 
-/* Answers what can be answered, and goes on. */
+/* Advances the time, and answers polls for which a newer version exists. */
 static void
 run(struct enet *n, int64_t for_us)
 {
@@ -162,7 +164,7 @@
 }
 
 static void
-follow_controls(struct entry_options *o)
+set_controls(struct entry_options *o)
 {
     o->controls = names;
     o->n_controls = CONTROLS;
@@ -177,7 +179,7 @@
                              .new_region = true,
                              .run_us = SEC / 10,
                              .on_unknown_dest = on_outside,
-                             .adjust_options = follow_controls,
+                             .adjust_options = set_controls,
                              .no_config = true};
 
     memset(controls, 0, sizeof(controls));
@@ -201,7 +203,7 @@
 }
 
 static void
-changes_reach_everyone(void)
+changes_reach_all_instances(void)
 {
     struct enet *n = new_net(4);
 
@@ -210,74 +212,73 @@
     for (int i = 0; i < CONTROLS; i++) {
         controls[i].version = 5;
     }
-    asked = 0;
+    n_requests = 0;
     run(n, SEC / 5);
     CU_ASSERT_TRUE(all_have(n, 5));
     run(n, 30 * SEC);
     /* One instance in each of two zones polls, every 5.5 s at least. */
-    CU_ASSERT_TRUE(asked >= 10 && asked <= 16);
+    CU_ASSERT_TRUE(n_requests >= 10 && n_requests <= 16);
     enet_free(n);
 }
 
-/* What an instance has differs from what control takes it to have, or the
- * change is garbled on its way.  Put together all the same, the text would be
- * in force at this instance alone, under the version of the right one. */
+/* Guards against a wrong text in force at one instance: a delta is corrupted
+ * in transit, or made against another text than the instance has. */
 static void
-change_that_does_not_fit(void)
+delta_that_does_not_apply(void)
 {
     struct enet *n = new_net(4);
 
     run(n, 2 * SEC);
-    changes = 0;
-    garble = UINT64_MAX; /* all */
+    n_deltas = 0;
+    n_corrupt = UINT64_MAX; /* corrupt all */
     for (int i = 0; i < CONTROLS; i++) {
         controls[i].version = 5;
     }
     run(n, 8 * SEC);
-    garble = 0;
-    CU_ASSERT_TRUE(changes >= 2);
-    changes = 0;
+    n_corrupt = 0;
+    CU_ASSERT_TRUE(n_deltas >= 2);
+    n_deltas = 0;
     CU_ASSERT_TRUE(all_have(n, 5));
     for (int i = 0; i < CONTROLS; i++) {
         controls[i].version = 6;
     }
     run(n, 8 * SEC);
-    CU_ASSERT_TRUE(changes >= 2); /* whole ones were for once only */
+    CU_ASSERT_TRUE(n_deltas >= 2); /* deltas again after the whole text */
     CU_ASSERT_TRUE(all_have(n, 6));
     enet_free(n);
 }
 
-/* An operator publishes and waits.  If control learnt of the instances that
- * poll a neighbour only now and then, the operator would see them lag. */
+/* Guards against instances that seem to be behind to an operator who waits for
+ * a change, because control gets their version only with the next long poll of
+ * their zone. */
 static void
-control_hears_of_all(void)
+control_gets_the_versions_of_all(void)
 {
     struct enet *n = new_net(4);
 
     run(n, 2 * SEC);
-    memset(told, 0, sizeof(told));
+    memset(reported, 0, sizeof(reported));
     for (int i = 0; i < CONTROLS; i++) {
         controls[i].version = 5;
     }
     run(n, 2 * SEC);
     for (int i = 0; i < NODES; i++) {
-        CU_ASSERT_EQUAL(told[i], 5);
+        CU_ASSERT_EQUAL(reported[i], 5);
     }
     enet_free(n);
 }
 
-/* The control process that an instance polls falls silent, its connection
- * still open.  Without a limit on the wait the zone would never see a change
- * again. */
+/* Guards against a zone that gets no further changes because the control
+ * process that it polls is unresponsive while its connection stays open. */
 static void
-silent_control_is_left(void)
+unresponsive_control_is_replaced(void)
 {
     struct enet *n = new_net(4);
 
     run(n, 2 * SEC);
     for (int i = 0; i < CONTROLS; i++) {
         controls[i].version = 5;
-        controls[i].silent = i < 2;
+        controls[i].unresponsive = i < 2;
     }
     n_polls = 0;
     run(n, 14 * SEC);
@@ -285,9 +286,8 @@
     enet_free(n);
 }
 
-/* An instance restarts after many changes.  One control process sits behind
- * a partition with an old log and is the first to answer.  Applied, its
- * version would bring back limits that were changed long ago. */
+/* Guards against an old version in force after a restart: a partitioned
+ * control process with an old log is the first to answer. */
 static void
 restart_never_reverts(void)
 {
@@ -300,8 +300,8 @@
     }
     run(n, 2 * SEC);
     controls[0].version = 4;
-    controls[1].silent = true;
-    controls[2].silent = true;
+    controls[1].unresponsive = true;
+    controls[2].unresponsive = true;
     enet_restart(n, 1);
     for (int i = 0; i < 500 && first == 0; i++) {
         run(n, SEC / 100);
@@ -311,8 +311,8 @@
     enet_free(n);
 }
 
-/* Guards against a copy from each control process, again with each question,
- * at an instance that starts behind a slow link. */
+/* Guards against a saturated link at the start of an instance, because each
+ * control process sends a copy of the text, again with each request. */
 static void
 started_instance_is_sent_one_text(void)
 {
@@ -327,10 +327,10 @@
     enet_free(n);
 }
 
-/* A text that does not parse arrives as a newer version.  What is in force
- * stays, and the next good version is applied. */
+/* Guards against losing the configuration in force when a newer version does
+ * not parse; the next valid version is applied. */
 static void
-bad_text_changes_nothing(void)
+unparsable_text_is_ignored(void)
 {
     struct enet *n = new_net(4);
     struct msg m = {.kind = MSG_CONFIG_REPLY};
@@ -348,10 +348,11 @@
     enet_free(n);
 }
 
-/* A zone is cut off from control, and one of its instances was cut off from
- * the zone when the last change came.  It gets it from its neighbours. */
+/* Guards against an instance that stays behind: it was down when the last
+ * change came, and its zone has since been partitioned from control, so it has
+ * to get the change from its zone. */
 static void
-neighbours_help(void)
+instance_catches_up_from_its_zone(void)
 {
     struct enet *n = new_net(4);
 
@@ -362,7 +363,7 @@
     }
     run(n, 2 * SEC);
     for (int i = 0; i < CONTROLS; i++) {
-        controls[i].silent = true;
+        controls[i].unresponsive = true;
     }
     enet_restart(n, 2);
     run(n, 3 * SEC);
@@ -373,13 +374,19 @@
 void
 suite_follow(void)
 {
-    check_add("follow", "changes_reach_everyone", changes_reach_everyone);
-    check_add("follow", "change_that_does_not_fit", change_that_does_not_fit);
-    check_add("follow", "control_hears_of_all", control_hears_of_all);
-    check_add("follow", "silent_control_is_left", silent_control_is_left);
+    check_add("follow", "changes_reach_all_instances",
+              changes_reach_all_instances);
+    check_add("follow", "delta_that_does_not_apply",
+              delta_that_does_not_apply);
+    check_add("follow", "control_gets_the_versions_of_all",
+              control_gets_the_versions_of_all);
+    check_add("follow", "unresponsive_control_is_replaced",
+              unresponsive_control_is_replaced);
     check_add("follow", "restart_never_reverts", restart_never_reverts);
     check_add("follow", "started_instance_is_sent_one_text",
               started_instance_is_sent_one_text);
-    check_add("follow", "bad_text_changes_nothing", bad_text_changes_nothing);
-    check_add("follow", "neighbours_help", neighbours_help);
+    check_add("follow", "unparsable_text_is_ignored",
+              unparsable_text_is_ignored);
+    check_add("follow", "instance_catches_up_from_its_zone",
+              instance_catches_up_from_its_zone);
 }
