--- a/src/config_sync.c
+++ b/src/config_sync.c
@@ -284,7 +284,7 @@
     }
     poll_text(e, f->announced_by);
     f->next_fetch_us = e->now.mono_us + FETCH_RETRY_US;
-    /* The server may not answer, so the next announcement decides which server
+    /* If this server does not answer, the next announcement decides which one
      * is asked next. */
     f->announced_version = 0;
 }
--- a/src/config_sync.h
+++ b/src/config_sync.h
@@ -11,12 +11,16 @@
 
 #include "entry_state.h"
 
+/** config_sync_new() - to be freed with config_sync_free(); aborts the process
+ * when memory runs out */
 struct config_sync *config_sync_new(const struct entry *e);
 void config_sync_free(struct config_sync *f);
 
 /** config_sync_on_message() - handles CONFIG_REQUEST and CONFIG_REPLY */
 void config_sync_on_message(struct entry *e, struct name from,
                             const struct msg *m);
+
+/** config_sync_tick() - sends due requests, and answers expired polls */
 void config_sync_tick(struct entry *e);
 
 /** config_sync_next_us() - monotonic time of the next config_sync_tick() */
--- a/src/control.h
+++ b/src/control.h
@@ -194,8 +194,8 @@
 
 /** struct control_view - state of a member for metrics, status and tests */
 struct control_view {
-    struct histogram
-        publish_latency; /* from an operator's change to its answer */
+    /* From an operator's publication or change to the answer. */
+    struct histogram publish_latency;
     enum control_role role;
     bool voter;
     struct name leader; /* empty: not known */
--- a/src/control_state.h
+++ b/src/control_state.h
@@ -183,8 +183,8 @@
     bool followers_changed;
     bool serving; /* applied the startup read index: answers followers */
     struct control_counters counters;
-    struct histogram
-        publish_latency; /* from an operator's change to its answer */
+    /* From an operator's publication or change to the answer. */
+    struct histogram publish_latency;
 };
 
 /* control.c */
@@ -274,6 +274,8 @@
 /** election_reset_startup_timer() - sets the election timer to the shorter
  * timeout of a process that has just started */
 void election_reset_startup_timer(struct control *c);
+
+/** election_tick() - campaigns if the election timer has expired */
 void election_tick(struct control *c);
 void election_on_vote(struct control *c, struct name from,
                       const struct rec_vote *v);
@@ -322,8 +324,12 @@
                       size_t n);
 
 /* receive.c */
+
+/** receive_append() - handles entries or a heartbeat of a leader */
 void receive_append(struct control *c, struct name from,
                     const struct rec_append *a);
+
+/** receive_snapshot() - stores a chunk; installs the snapshot once complete */
 void receive_snapshot(struct control *c, struct name from,
                       const struct rec_snapshot *s);
 
@@ -373,8 +379,14 @@
 /** enroll_tick() - sends join requests while no leader is heard; the leader
  * replaces lost disks and removes members that stay silent */
 void enroll_tick(struct control *c);
+
+/** enroll_on_join() - the leader adds @from as learner; other members reply
+ * with the membership */
 void enroll_on_join(struct control *c, struct name from,
                     const struct rec_join *j);
+
+/** enroll_on_members() - replaces the contacts by the members that another
+ * process sent */
 void enroll_on_members(struct control *c, const struct rec_membership *m);
 
 /** enroll_add_contact() - records a process that may be a member */
@@ -386,8 +398,11 @@
 
 /* followers.c */
 
+/** followers_on_request() - opens a long poll */
 void followers_on_request(struct control *c, struct name from,
                           const struct rec_config_request *r);
+
+/** followers_on_report() - merges the followers that another member reports */
 void followers_on_report(struct control *c, struct name from,
                          const struct rec_followers *f);
 
--- a/tests/cluster.h
+++ b/tests/cluster.h
@@ -30,11 +30,9 @@
     struct storage *storage;
     struct control *control; /* NULL while the process is down */
     bool isolated;           /* partitioned from all other nodes */
-    int drops_from; /* drops messages from this node; CLUSTER_NODES_MAX: none
-                     */
+    int drops_from; /* drops all from this node; CLUSTER_NODES_MAX: none */
     bool paused;    /* the process is stopped; its messages queue up */
-    struct control_effect
-        disk_work[CLUSTER_DISK_WORK_MAX]; /* queue of the disk */
+    struct control_effect disk_work[CLUSTER_DISK_WORK_MAX]; /* its queue */
     size_t n_disk_work;
     int64_t disk_work_due_us;      /* when the first disk operation is done */
     int64_t disk_stalled_until_us; /* no disk operation is done before */
