--- a/src/control_effect.h
+++ b/src/control_effect.h
@@ -165,8 +165,8 @@
  * @version: the version in force
  * @resend: the request id was accepted before
  * @publication: the publication that was accepted or read, or with
- * CONTROL_TAKEN the one accepted from the same base; its kind is
- * MSG_PUBLICATION only if there is one; owned
+ *               CONTROL_TAKEN the one accepted from the same base; its kind is
+ *               MSG_PUBLICATION only if there is one; owned
  * @config: text of a read; owned reference
  */
 struct ce_reply {
