--- a/tests/enroll_test.c
+++ b/tests/enroll_test.c
@@ -148,14 +148,14 @@
 returning_member_is_not_removed_before_its_reply(void)
 {
     struct cluster *cl = new_enroll_cluster(4, 7);
-    int down = (cluster_await_leader(cl) + 1) % 4;
+    int removed = (cluster_await_leader(cl) + 1) % 4;
 
     publish(cl, 1);
-    cl->nodes[down].isolated = true;
+    cl->nodes[removed].isolated = true;
     cluster_run(cl, 6 * SEC);
     CU_ASSERT_EQUAL(count_members(cl), 3);
-    cl->nodes[down].isolated = false;
-    cl->nodes[down].drops_from = cluster_leader(cl);
+    cl->nodes[removed].isolated = false;
+    cl->nodes[removed].drops_from = cluster_leader(cl);
     for (int i = 0; i < 200 && count_members(cl) < 4; i++) {
         cluster_run(cl, 10 * MSEC);
     }
@@ -163,9 +163,9 @@
         CU_ASSERT_EQUAL(count_members(cl), 4);
         cluster_run(cl, 10 * MSEC);
     }
-    cl->nodes[down].drops_from = CLUSTER_NODES_MAX;
+    cl->nodes[removed].drops_from = CLUSTER_NODES_MAX;
     cluster_run(cl, 4 * SEC);
-    CU_ASSERT_TRUE(is_voter(cl, down));
+    CU_ASSERT_TRUE(is_voter(cl, removed));
     assert_no_violation(cl);
     cluster_free(cl);
 }
