--- a/src/admit.c
+++ b/src/admit.c
@@ -8,10 +8,10 @@
 #include "upstream.h"
 
 #define CAPACITY_US (20 * USEC_PER_MSEC) /* an estimate is used this long */
-enum { QUEUE_PART = 4 }; /* of a time limit, for all that is queued */
+enum { QUEUED_DIVISOR = 4 }; /* of a time limit, for all that is queued */
 
-#define RETRY_LEAST_US (200 * USEC_PER_MSEC)
-#define RETRY_MOST_US (30 * USEC_PER_SEC)
+#define RETRY_MIN_US (200 * USEC_PER_MSEC)
+#define RETRY_MAX_US (30 * USEC_PER_SEC)
 
 uint8_t
 admit_work_class(int64_t work_us)
@@ -29,12 +29,12 @@
 
 /** struct zone_slots - of a service, as far as this instance knows */
 struct zone_slots {
-    uint32_t all;
+    uint32_t total;
     uint32_t held; /* by this instance */
 };
 
 static struct zone_slots
-zone_slots(const struct entry *e, const struct service_state *s)
+count_zone_slots(const struct entry *e, const struct service_state *s)
 {
     struct zone_slots z = {0};
     const struct upstream *u;
@@ -47,14 +47,14 @@
             continue;
         }
         usable = upstreams_usable_slots(u);
-        z.all += usable;
+        z.total += usable;
         z.held += u->held ? usable - u->lent : 0;
     }
     return z;
 }
 
 static uint32_t
-zone_members(const struct entry *e)
+count_zone_members(const struct entry *e)
 {
     const struct member *m;
     uint32_t n = 1; /* self */
@@ -69,7 +69,7 @@
 }
 
 static uint32_t
-borrowed(const struct service_state *s)
+borrowed_slots(const struct service_state *s)
 {
     uint32_t n = 0;
 
@@ -84,7 +84,7 @@
 }
 
 static uint32_t
-more(uint32_t a, uint32_t b)
+max_u32(uint32_t a, uint32_t b)
 {
     return a > b ? a : b;
 }
@@ -99,12 +99,12 @@
     if (s->capacity > 0 && e->now.mono_us < s->capacity_at_us + CAPACITY_US) {
         return s->capacity;
     }
-    z = zone_slots(e, s);
-    n = more(z.held + borrowed(s), z.all / zone_members(e));
+    z = count_zone_slots(e, s);
+    n = max_u32(z.held + borrowed_slots(s), z.total / count_zone_members(e));
     n += borrow_remote_free_slots(e, s);
     quota = quotas_max_slots(e, s);
     n = n < quota ? n : quota;
-    s->capacity = more(n, 1);
+    s->capacity = max_u32(n, 1);
     s->capacity_at_us = e->now.mono_us;
     return s->capacity;
 }
@@ -112,7 +112,7 @@
 /* Fit */
 
 static bool
-fits(const struct upstream *u, struct resources need)
+upstream_fits(const struct upstream *u, struct resources need)
 {
     return need.cpu_milli <= u->info.cpu_milli &&
            need.memory_mb <= u->info.memory_mb &&
@@ -155,8 +155,8 @@
 /** others_may() - upstreams of other zones are not known here one by one, but
  * heartbeats tell the largest sizes */
 static bool
-others_may(const struct entry *e, const struct service_state *s,
-           struct resources need)
+other_zone_fits(const struct entry *e, const struct service_state *s,
+                struct resources need)
 {
     const struct member *m;
     size_t at = 0;
@@ -190,7 +190,7 @@
         if (u->service != s) {
             continue;
         }
-        if (fits(u, need)) {
+        if (upstream_fits(u, need)) {
             return FIT_SOME;
         }
         any = true;
@@ -213,31 +213,31 @@
 static int64_t
 retry_after(struct entry *e, int64_t excess_us)
 {
-    int64_t us = excess_us > RETRY_LEAST_US ? excess_us : RETRY_LEAST_US;
+    int64_t us = excess_us > RETRY_MIN_US ? excess_us : RETRY_MIN_US;
 
-    return entry_jitter(e, us < RETRY_MOST_US ? us : RETRY_MOST_US);
+    return entry_jitter(e, us < RETRY_MAX_US ? us : RETRY_MAX_US);
 }
 
 static struct admission
-judge_fit(struct entry *e, const struct service_state *s,
+check_fit(struct entry *e, const struct service_state *s,
           const struct job *job)
 {
     struct admission a = {.admitted = true};
-    const struct resources *last = NULL;
+    const struct resources *last_fit = NULL;
 
     for (uint32_t i = 0; i < job->n_tasks; i++) {
         const struct resources *need = &job->tasks[i].need;
         enum fit fit;
 
-        if (last != NULL && resources_fit(*need, *last)) {
+        if (last_fit != NULL && resources_fit(*need, *last_fit)) {
             continue;
         }
         fit = fit_of(e, s, *need);
         if (fit == FIT_SOME) {
-            last = need;
+            last_fit = need;
             continue;
         }
-        if (others_may(e, s, *need)) {
+        if (other_zone_fits(e, s, *need)) {
             continue;
         }
         if (fit == FIT_UNKNOWN) {
@@ -268,17 +268,19 @@
 }
 
 /** struct crowd - who shares the instance's queue */
-struct crowd {
-    uint64_t weights; /* of teams with queued tasks, and room for one more */
-    uint32_t own;     /* tasks queued by the asker's team */
+struct queue_shares {
+    uint64_t
+        total_weight; /* of teams with queued tasks, and room for one more */
+    uint32_t queued_by_team; /* tasks queued by the asker's team */
 };
 
-static struct crowd
-crowd_of(const struct entry *e, struct name team)
+static struct queue_shares
+compute_shares(const struct entry *e, struct name team)
 {
     const struct dispatch *d = e->dispatch;
     /* The team itself and one that may come yet. */
-    struct crowd c = {.weights = 2 * (uint64_t)team_weight(e, team)};
+    struct queue_shares shares = {.total_weight =
+                                      2 * (uint64_t)team_weight(e, team)};
 
     for (size_t i = 0; i < d->n_services; i++) {
         const struct service_state *s = d->services[i];
@@ -287,13 +289,13 @@
             continue;
         }
         if (name_equal(s->conf->team, team)) {
-            c.own += s->n_queued;
+            shares.queued_by_team += s->n_queued;
         }
         else {
-            c.weights += team_weight(e, s->conf->team);
+            shares.total_weight += team_weight(e, s->conf->team);
         }
     }
-    return c;
+    return shares;
 }
 
 /* A team that submits without end would fill the queue of the instance, and
@@ -304,35 +306,35 @@
 queue_full(const struct entry *e, const struct service_state *s,
            const struct job *job)
 {
-    uint64_t all = (uint64_t)e->dispatch->n_queued + job->n_tasks;
-    struct crowd c;
+    uint64_t total = (uint64_t)e->dispatch->n_queued + job->n_tasks;
+    struct queue_shares shares;
 
     if (s->conf != NULL && s->n_queued + job->n_tasks > s->conf->max_queued &&
         s->conf->max_queued > 0) {
         return true;
     }
-    if (all > e->opts.queue_max) {
+    if (total > e->opts.queue_max) {
         return true;
     }
-    if (all <= e->opts.queue_max / 2) {
+    if (total <= e->opts.queue_max / 2) {
         return false;
     }
-    c = crowd_of(e, job->team);
-    return (c.own + job->n_tasks) * c.weights >
+    shares = compute_shares(e, job->team);
+    return (shares.queued_by_team + job->n_tasks) * shares.total_weight >
            (uint64_t)e->opts.queue_max * team_weight(e, job->team);
 }
 
 /** struct estimate - of a job's way through the queue, microseconds */
-struct estimate {
+struct time_estimate {
     int64_t own;     /* its own work over the capacity */
     int64_t ahead;   /* what goes before it, over the capacity */
-    int64_t all;     /* all that is queued, over the capacity */
+    int64_t queued;  /* all that is queued, over the capacity */
     int64_t longest; /* its longest task, as expected */
     int64_t tail;    /* the same, when it runs late */
 };
 
 static int64_t
-ahead_us(const struct service_state *s, uint8_t class)
+queued_work_us(const struct service_state *s, uint8_t class)
 {
     uint32_t n = 0;
     int64_t declared_us = 0;
@@ -347,23 +349,23 @@
 /** running_us() - half of what runs is still to come, on average; it stands
  * in the way only where all slots are taken */
 static int64_t
-running_us(const struct service_state *s, uint32_t capacity)
+running_work_us(const struct service_state *s, uint32_t capacity)
 {
-    int64_t each =
+    int64_t mean_us =
         s->run_estimate.samples > 0 ? (int64_t)s->run_estimate.mean_us : 0;
 
-    return s->n_running < capacity ? 0 : each * s->n_running / 2;
+    return s->n_running < capacity ? 0 : mean_us * s->n_running / 2;
 }
 
-static struct estimate
-estimate(struct entry *e, struct service_state *s, const struct job *job)
+static struct time_estimate
+estimate_times(struct entry *e, struct service_state *s, const struct job *job)
 {
     uint32_t capacity = admit_capacity(e, s);
-    struct estimate x = {0};
+    struct time_estimate est = {0};
     int64_t declared_us = 0;
     int64_t longest_us = 0;
     int64_t work_us;
-    int64_t running;
+    int64_t running_us;
 
     for (uint32_t i = 0; i < job->n_tasks; i++) {
         int64_t us = job->tasks[i].run_us;
@@ -372,13 +374,14 @@
         longest_us = us > longest_us ? us : longest_us;
     }
     work_us = estimate_sum_us(&s->run_estimate, job->n_tasks, declared_us);
-    running = running_us(s, capacity);
-    x.own = work_us / capacity;
-    x.ahead = (running + ahead_us(s, admit_work_class(work_us))) / capacity;
-    x.all = (running + ahead_us(s, WORK_CLASSES - 1)) / capacity;
-    x.longest = estimate_mean_us(&s->run_estimate, longest_us);
-    x.tail = estimate_longest_us(&s->run_estimate, job->n_tasks, longest_us);
-    return x;
+    running_us = running_work_us(s, capacity);
+    est.own = work_us / capacity;
+    est.ahead =
+        (running_us + queued_work_us(s, admit_work_class(work_us))) / capacity;
+    est.queued = (running_us + queued_work_us(s, WORK_CLASSES - 1)) / capacity;
+    est.longest = estimate_mean_us(&s->run_estimate, longest_us);
+    est.tail = estimate_longest_us(&s->run_estimate, job->n_tasks, longest_us);
+    return est;
 }
 
 /** late_us() - by how much a job would be late, or make others late.  What
@@ -388,39 +391,40 @@
  * the large ones, admitted in good faith, fail at their deadlines with half
  * their tasks run. */
 static int64_t
-late_us(const struct service_state *s, const struct estimate *x, int64_t left)
+late_us(const struct service_state *s, const struct time_estimate *est,
+        int64_t left)
 {
     int64_t limit = s->conf != NULL ? s->conf->deadline_us : 0;
-    int64_t own_late = x->ahead + x->own + x->tail - left;
-    int64_t all_late;
+    int64_t own_late = est->ahead + est->own + est->tail - left;
+    int64_t queue_late;
 
-    if (x->all == 0) {
+    if (est->queued == 0) {
         return 0;
     }
     limit = limit > left ? limit : left;
-    all_late = x->all - limit / QUEUE_PART;
-    return own_late > all_late ? own_late : all_late;
+    queue_late = est->queued - limit / QUEUED_DIVISOR;
+    return own_late > queue_late ? own_late : queue_late;
 }
 
 static struct admission
-judge_time(struct entry *e, struct service_state *s, const struct job *job)
+check_time(struct entry *e, struct service_state *s, const struct job *job)
 {
-    struct estimate x = estimate(e, s, job);
+    struct time_estimate est = estimate_times(e, s, job);
     int64_t left = job->deadline_us - e->now.mono_us;
-    int64_t need = x.longest > x.own ? x.longest : x.own;
+    int64_t need = est.longest > est.own ? est.longest : est.own;
     int64_t late;
     struct admission a;
 
     if (need > left) {
         a = refuse(PROBLEM_OVERLOADED, REASON_DEADLINE_HOPELESS,
-                   retry_after(e, x.all));
+                   retry_after(e, est.queued));
         (void)snprintf(a.detail, sizeof(a.detail),
                        "takes %lld ms even alone, %lld ms are left",
                        (long long)(need / USEC_PER_MSEC),
                        (long long)(left / USEC_PER_MSEC));
         return a;
     }
-    late = late_us(s, &x, left);
+    late = late_us(s, &est, left);
     if (late <= 0) {
         return (struct admission){.admitted = true};
     }
@@ -432,7 +436,7 @@
     }
     (void)snprintf(a.detail, sizeof(a.detail),
                    "%lld ms of work wait before it, %lld ms are left",
-                   (long long)(x.ahead / USEC_PER_MSEC),
+                   (long long)(est.ahead / USEC_PER_MSEC),
                    (long long)(left / USEC_PER_MSEC));
     return a;
 }
@@ -441,7 +445,7 @@
 admit_job(struct entry *e, const struct job *job)
 {
     struct service_state *s = dispatch_ensure_service(e, job->service_name);
-    struct admission a = judge_fit(e, s, job);
+    struct admission a = check_fit(e, s, job);
 
     if (!a.admitted) {
         return a;
@@ -453,5 +457,5 @@
                        "%u tasks of the service are queued here", s->n_queued);
         return a;
     }
-    return judge_time(e, s, job);
+    return check_time(e, s, job);
 }
--- a/src/assign.c
+++ b/src/assign.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 
 /* A holder keeps that share more than its even part before any of it moves. */
-enum { SLACK_PART = 8 };
+enum { SLACK_DIVISOR = 8 };
 
 static int
 compare_spread(const void *x, const void *y)
@@ -17,12 +17,12 @@
 /* Counts what each keeps; what is beyond @most becomes nobody's. */
 static void
 keep_held(struct assign_item *items, size_t n_items, size_t *counts,
-          size_t most)
+          size_t max)
 {
     for (size_t i = 0; i < n_items; i++) {
         size_t holder = items[i].holder;
 
-        if (holder != ASSIGN_NONE && counts[holder] < most) {
+        if (holder != ASSIGN_NONE && counts[holder] < max) {
             counts[holder]++;
         }
         else {
@@ -46,7 +46,7 @@
 assign_holders(struct assign_item *items, size_t n_items, size_t n_holders)
 {
     size_t *counts = calloc(n_holders, sizeof(*counts));
-    size_t part = (n_items + n_holders - 1) / n_holders;
+    size_t even_share = (n_items + n_holders - 1) / n_holders;
 
     if (counts == NULL) {
         abort();
@@ -54,7 +54,8 @@
     if (n_items > 1) {
         qsort(items, n_items, sizeof(*items), compare_spread);
     }
-    keep_held(items, n_items, counts, part + part / SLACK_PART + 1);
+    keep_held(items, n_items, counts,
+              even_share + even_share / SLACK_DIVISOR + 1);
     for (size_t i = 0; i < n_items; i++) {
         if (items[i].holder == ASSIGN_NONE) {
             items[i].holder = least_loaded(counts, n_holders);
--- a/src/claim.c
+++ b/src/claim.c
@@ -11,14 +11,14 @@
 #include "vote.h"
 
 enum {
-    ROUNDS_MAX = 6,     /* of asking before an attempt is given up */
-    LIFE_TIMEOUTS = 20, /* an attempt's longest life, in claim timeouts */
+    ROUNDS_MAX = 6,        /* of asking before an attempt is given up */
+    ATTEMPT_TIMEOUTS = 20, /* an attempt's longest life, in claim timeouts */
 };
 
 /* One voter's part in an attempt. */
-struct ask {
+struct voter_request {
     struct name voter;
-    bool asked;
+    bool sent;
     bool replied;
     enum claim_verdict verdict;
     uint64_t voter_incarnation;
@@ -37,12 +37,13 @@
     uint64_t digest;
     enum claim_purpose purpose;
     bool find;
-    bool resting; /* a split vote: waits before it asks again */
+    bool backing_off; /* a split vote: waits before it asks again */
     int rounds;
-    int64_t begun_us;
+    int64_t started_us;
     int64_t due_us;
-    struct ask asks[VOTERS_PER_ZONE]; /* in the order of asking */
-    size_t n_asks;
+    struct voter_request
+        requests[VOTERS_PER_ZONE]; /* in the order of asking */
+    size_t n_requests;
 };
 
 struct claims *
@@ -80,7 +81,7 @@
 }
 
 static void
-attempt_due(struct entry *e, struct attempt *a, int64_t after_us)
+attempt_set_timer(struct entry *e, struct attempt *a, int64_t after_us)
 {
     a->due_us = e->now.mono_us + after_us;
     timers_add(&e->claims->timers, a->due_us, a->self);
@@ -89,7 +90,7 @@
 /* Asking order: ourselves, then voters that are up, near ones first; among
  * equals the key decides, so that the load spreads. */
 static int
-ask_rank(const struct entry *e, struct name voter)
+request_rank(const struct entry *e, struct name voter)
 {
     const struct member *m = members_by_name(e, voter);
 
@@ -103,15 +104,15 @@
 }
 
 static void
-sort_asks(const struct entry *e, struct attempt *a)
+sort_requests(const struct entry *e, struct attempt *a)
 {
-    for (size_t i = 1; i < a->n_asks; i++) {
+    for (size_t i = 1; i < a->n_requests; i++) {
         for (size_t j = i; j > 0; j--) {
-            struct ask *x = &a->asks[j - 1];
-            struct ask *y = &a->asks[j];
+            struct voter_request *x = &a->requests[j - 1];
+            struct voter_request *y = &a->requests[j];
 
-            if (ask_rank(e, x->voter) > ask_rank(e, y->voter)) {
-                struct ask z = *x;
+            if (request_rank(e, x->voter) > request_rank(e, y->voter)) {
+                struct voter_request z = *x;
 
                 *x = *y;
                 *y = z;
@@ -132,12 +133,12 @@
     a->self = h;
     a->job = job;
     a->key = *key;
-    a->begun_us = e->now.mono_us;
-    a->n_asks = n;
+    a->started_us = e->now.mono_us;
+    a->n_requests = n;
     for (size_t i = 0; i < n; i++) {
-        a->asks[i].voter = voters[(i + key->id.lo) % n];
+        a->requests[i].voter = voters[(i + key->id.lo) % n];
     }
-    sort_asks(e, a);
+    sort_requests(e, a);
     map_put(&e->claims->attempts_by_number, a);
     return a;
 }
@@ -172,8 +173,8 @@
 /* To all voters, also those not asked: one that restarted may have copied the
  * record from one that was. */
 static void
-release_everywhere(struct entry *e, const struct key_ref *key,
-                   uint64_t attempt)
+release_at_all_voters(struct entry *e, const struct key_ref *key,
+                      uint64_t attempt)
 {
     struct name voters[VOTERS_PER_ZONE];
     size_t n = members_voters(e, key->zone, voters);
@@ -185,12 +186,12 @@
 
 /* An attempt that no voter can have recorded costs no release. */
 static bool
-maybe_recorded(const struct attempt *a)
+may_be_recorded(const struct attempt *a)
 {
-    for (size_t i = 0; i < a->n_asks; i++) {
-        const struct ask *k = &a->asks[i];
+    for (size_t i = 0; i < a->n_requests; i++) {
+        const struct voter_request *vr = &a->requests[i];
 
-        if (k->asked && (!k->replied || k->verdict == CLAIM_GRANTED)) {
+        if (vr->sent && (!vr->replied || vr->verdict == CLAIM_GRANTED)) {
             return true;
         }
     }
@@ -201,30 +202,30 @@
 attempt_give_up(struct entry *e, struct attempt *a,
                 const struct claim_result *r)
 {
-    if (!a->find && maybe_recorded(a)) {
-        release_everywhere(e, &a->key, a->number);
+    if (!a->find && may_be_recorded(a)) {
+        release_at_all_voters(e, &a->key, a->number);
     }
     attempt_end(e, a, r);
 }
 
 static void
-note_newest(struct attempt *a, struct name voter, uint64_t incarnation)
+update_newest(struct attempt *a, struct name voter, uint64_t incarnation)
 {
-    for (size_t i = 0; i < a->n_asks; i++) {
-        struct ask *k = &a->asks[i];
+    for (size_t i = 0; i < a->n_requests; i++) {
+        struct voter_request *vr = &a->requests[i];
 
-        if (name_equal(k->voter, voter) && incarnation > k->newest) {
-            k->newest = incarnation;
+        if (name_equal(vr->voter, voter) && incarnation > vr->newest) {
+            vr->newest = incarnation;
         }
     }
 }
 
-static struct ask *
-ask_of(struct attempt *a, struct name voter)
+static struct voter_request *
+find_request(struct attempt *a, struct name voter)
 {
-    for (size_t i = 0; i < a->n_asks; i++) {
-        if (name_equal(a->asks[i].voter, voter)) {
-            return &a->asks[i];
+    for (size_t i = 0; i < a->n_requests; i++) {
+        if (name_equal(a->requests[i].voter, voter)) {
+            return &a->requests[i];
         }
     }
     return NULL;
@@ -232,13 +233,13 @@
 
 /* Notes one voter's reply; false where it makes no sense. */
 static bool
-attempt_take(struct entry *e, struct attempt *a, struct name from,
-             const struct rec_claim_reply *r)
+attempt_store_reply(struct entry *e, struct attempt *a, struct name from,
+                    const struct rec_claim_reply *r)
 {
-    struct ask *k = ask_of(a, from);
+    struct voter_request *vr = find_request(a, from);
     const struct member *claimer = NULL;
 
-    if (k == NULL || !key_id_equal(a->key.id, r->key) ||
+    if (vr == NULL || !key_id_equal(a->key.id, r->key) ||
         r->verdict > CLAIM_NONE || r->purpose > CLAIM_CANCEL) {
         return false;
     }
@@ -247,27 +248,27 @@
         if (claimer == NULL) {
             return false;
         }
-        k->claimer = members_index(e, claimer);
+        vr->claimer = members_index(e, claimer);
     }
     for (size_t i = 0; i < r->n_views; i++) {
-        note_newest(a, r->views[i].voter, r->views[i].incarnation);
+        update_newest(a, r->views[i].voter, r->views[i].incarnation);
     }
-    note_newest(a, from, r->voter_incarnation);
-    if (r->voter_incarnation < k->voter_incarnation) {
+    update_newest(a, from, r->voter_incarnation);
+    if (r->voter_incarnation < vr->voter_incarnation) {
         return true; /* overtaken by a reply of a later incarnation */
     }
-    k->asked = true;
-    k->replied = true;
-    k->verdict = (enum claim_verdict)r->verdict;
-    k->voter_incarnation = r->voter_incarnation;
-    k->incarnation = r->claimer_incarnation;
-    k->digest = r->digest;
-    k->purpose = (enum claim_purpose)r->purpose;
+    vr->sent = true;
+    vr->replied = true;
+    vr->verdict = (enum claim_verdict)r->verdict;
+    vr->voter_incarnation = r->voter_incarnation;
+    vr->incarnation = r->claimer_incarnation;
+    vr->digest = r->digest;
+    vr->purpose = (enum claim_purpose)r->purpose;
     return true;
 }
 
 static struct msg
-ask_message(const struct entry *e, const struct attempt *a)
+request_message(const struct entry *e, const struct attempt *a)
 {
     struct msg m = {.kind = a->find ? MSG_CLAIM_FIND : MSG_CLAIM};
 
@@ -288,30 +289,30 @@
 }
 
 static void
-ask_self(struct entry *e, struct attempt *a, const struct msg *m)
+vote_locally(struct entry *e, struct attempt *a, const struct msg *m)
 {
     struct rec_claim_reply reply;
-    bool sense = a->find ? vote_find(e, &m->u.claim_find, &reply)
+    bool valid = a->find ? vote_find(e, &m->u.claim_find, &reply)
                          : vote_claim(e, e->opts.self, &m->u.claim, &reply);
 
-    if (sense) {
-        (void)attempt_take(e, a, e->opts.self, &reply);
+    if (valid) {
+        (void)attempt_store_reply(e, a, e->opts.self, &reply);
         free(reply.views);
     }
 }
 
 static void
-ask_voter(struct entry *e, struct attempt *a, struct ask *k)
+send_request(struct entry *e, struct attempt *a, struct voter_request *vr)
 {
-    struct msg m = ask_message(e, a);
+    struct msg m = request_message(e, a);
 
-    k->asked = true;
-    k->replied = false;
-    if (name_equal(k->voter, e->opts.self)) {
-        ask_self(e, a, &m);
+    vr->sent = true;
+    vr->replied = false;
+    if (name_equal(vr->voter, e->opts.self)) {
+        vote_locally(e, a, &m);
         return;
     }
-    entry_send(e, k->voter, &m);
+    entry_send(e, vr->voter, &m);
 }
 
 /* What can go wrong: a voter grants a key to one claimer, restarts empty,
@@ -321,33 +322,33 @@
  * answered the restarted one's request before, so its reply names the newer
  * incarnation.  The grant of the older one then does not count. */
 static bool
-grant_stale(const struct entry *e, const struct ask *k)
+grant_stale(const struct entry *e, const struct voter_request *vr)
 {
-    return k->voter_incarnation < k->newest ||
-           k->voter_incarnation < members_by_name(e, k->voter)->incarnation;
+    return vr->voter_incarnation < vr->newest ||
+           vr->voter_incarnation < members_by_name(e, vr->voter)->incarnation;
 }
 
 struct tally {
     size_t grants;
-    size_t none;
+    size_t absent;
     size_t pending;
-    size_t unasked;
+    size_t unsent;
     bool too_old;
-    const struct ask *other; /* claimer that most voters name */
+    const struct voter_request *other; /* claimer that most voters name */
     size_t other_votes;
 };
 
 static size_t
-votes_for(const struct attempt *a, const struct ask *k)
+votes_for(const struct attempt *a, const struct voter_request *vr)
 {
     size_t n = 0;
 
-    for (size_t i = 0; i < a->n_asks; i++) {
-        const struct ask *o = &a->asks[i];
+    for (size_t i = 0; i < a->n_requests; i++) {
+        const struct voter_request *o = &a->requests[i];
 
         n += o->replied && o->verdict == CLAIM_TAKEN &&
-                     o->claimer == k->claimer &&
-                     o->incarnation == k->incarnation
+                     o->claimer == vr->claimer &&
+                     o->incarnation == vr->incarnation
                  ? 1
                  : 0;
     }
@@ -356,29 +357,31 @@
 
 /* Numbers of members rise with their names. */
 static void
-tally_taken(const struct attempt *a, const struct ask *k, struct tally *t)
+tally_taken(const struct attempt *a, const struct voter_request *vr,
+            struct tally *t)
 {
-    size_t votes = votes_for(a, k);
+    size_t votes = votes_for(a, vr);
 
     if (t->other == NULL || votes > t->other_votes ||
-        (votes == t->other_votes && k->claimer < t->other->claimer)) {
-        t->other = k;
+        (votes == t->other_votes && vr->claimer < t->other->claimer)) {
+        t->other = vr;
         t->other_votes = votes;
     }
 }
 
 static void
-tally_reply(const struct attempt *a, const struct ask *k, struct tally *t)
+tally_reply(const struct attempt *a, const struct voter_request *vr,
+            struct tally *t)
 {
-    switch (k->verdict) {
+    switch (vr->verdict) {
     case CLAIM_GRANTED:
         t->grants++;
         break;
     case CLAIM_NONE:
-        t->none++;
+        t->absent++;
         break;
     case CLAIM_TAKEN:
-        tally_taken(a, k, t);
+        tally_taken(a, vr, t);
         break;
     case CLAIM_TOO_OLD:
         t->too_old = true;
@@ -393,27 +396,28 @@
 {
     struct tally t = {0};
 
-    for (size_t i = 0; i < a->n_asks; i++) {
-        struct ask *k = &a->asks[i];
+    for (size_t i = 0; i < a->n_requests; i++) {
+        struct voter_request *vr = &a->requests[i];
 
-        if (k->replied && k->verdict == CLAIM_GRANTED && grant_stale(e, k)) {
-            ask_voter(e, a, k);
+        if (vr->replied && vr->verdict == CLAIM_GRANTED &&
+            grant_stale(e, vr)) {
+            send_request(e, a, vr);
         }
-        if (!k->asked) {
-            t.unasked++;
+        if (!vr->sent) {
+            t.unsent++;
         }
-        else if (!k->replied) {
+        else if (!vr->replied) {
             t.pending++;
         }
         else {
-            tally_reply(a, k, &t);
+            tally_reply(a, vr, &t);
         }
     }
     return t;
 }
 
 static void
-end_plain(struct entry *e, struct attempt *a, enum claim_outcome end)
+end_attempt(struct entry *e, struct attempt *a, enum claim_outcome end)
 {
     struct claim_result r = {.outcome = end};
 
@@ -427,27 +431,27 @@
 }
 
 static void
-end_other(struct entry *e, struct attempt *a, const struct ask *k)
+end_taken(struct entry *e, struct attempt *a, const struct voter_request *vr)
 {
     struct claim_result r = {
         .outcome = CLAIM_OUTCOME_TAKEN,
-        .claimer = members_by_index(e, k->claimer)->name,
-        .incarnation = k->incarnation,
-        .digest = k->digest,
-        .purpose = k->purpose,
+        .claimer = members_by_index(e, vr->claimer)->name,
+        .incarnation = vr->incarnation,
+        .digest = vr->digest,
+        .purpose = vr->purpose,
     };
 
     attempt_give_up(e, a, &r);
 }
 
 static void
-end_tried(struct entry *e, struct attempt *a, const struct tally *t)
+end_without_majority(struct entry *e, struct attempt *a, const struct tally *t)
 {
     if (t->other != NULL) {
-        end_other(e, a, t->other);
+        end_taken(e, a, t->other);
         return;
     }
-    end_plain(e, a, CLAIM_OUTCOME_UNAVAILABLE);
+    end_attempt(e, a, CLAIM_OUTCOME_UNAVAILABLE);
 }
 
 /* Nobody has a majority among the voters that replied.  Of two claimers the
@@ -455,7 +459,7 @@
  * one with the lower name asks again a little later.  Names order them the
  * same way for both, so they do not both yield, nor both insist. */
 static void
-settle_split(struct entry *e, struct attempt *a, const struct tally *t)
+resolve_split_vote(struct entry *e, struct attempt *a, const struct tally *t)
 {
     uint16_t self = members_index(e, members_by_name(e, e->opts.self));
 
@@ -464,15 +468,15 @@
         entry_log(e, LOG_INFO, REASON_CLAIM_YIELDED, &a->key.id, -1,
                   members_by_index(e, t->other->claimer)->name,
                   "%zu votes, the other has %zu", t->grants, t->other_votes);
-        end_other(e, a, t->other);
+        end_taken(e, a, t->other);
         return;
     }
     if (++a->rounds >= ROUNDS_MAX) {
-        end_tried(e, a, t);
+        end_without_majority(e, a, t);
         return;
     }
-    a->resting = true;
-    attempt_due(e, a, entry_jitter(e, e->opts.claim_timeout_us / 4));
+    a->backing_off = true;
+    attempt_set_timer(e, a, entry_jitter(e, e->opts.claim_timeout_us / 4));
 }
 
 static bool
@@ -480,13 +484,13 @@
              size_t majority)
 {
     if (t->too_old) {
-        end_plain(e, a, CLAIM_OUTCOME_TOO_OLD);
+        end_attempt(e, a, CLAIM_OUTCOME_TOO_OLD);
     }
     else if (t->grants >= majority) {
-        end_plain(e, a, CLAIM_OUTCOME_WON);
+        end_attempt(e, a, CLAIM_OUTCOME_WON);
     }
     else if (t->other_votes >= majority) {
-        end_other(e, a, t->other);
+        end_taken(e, a, t->other);
     }
     else {
         return false;
@@ -499,10 +503,10 @@
             size_t majority)
 {
     if (t->other != NULL) {
-        end_other(e, a, t->other);
+        end_taken(e, a, t->other);
     }
-    else if (t->none >= majority) {
-        end_plain(e, a, CLAIM_OUTCOME_ABSENT);
+    else if (t->absent >= majority) {
+        end_attempt(e, a, CLAIM_OUTCOME_ABSENT);
     }
     else {
         return false;
@@ -513,19 +517,19 @@
 /* An attempt ends where its job did not wait for it, or where it took so long
  * (its process slept, say) that the first grants may have run out. */
 static bool
-attempt_over(const struct entry *e, const struct attempt *a)
+attempt_expired(const struct entry *e, const struct attempt *a)
 {
     return jobs_by_handle(e, a->job) == NULL ||
-           e->now.mono_us - a->begun_us >
-               LIFE_TIMEOUTS * e->opts.claim_timeout_us;
+           e->now.mono_us - a->started_us >
+               ATTEMPT_TIMEOUTS * e->opts.claim_timeout_us;
 }
 
 static void
-ask_next(struct entry *e, struct attempt *a)
+request_next_voter(struct entry *e, struct attempt *a)
 {
-    for (size_t i = 0; i < a->n_asks; i++) {
-        if (!a->asks[i].asked) {
-            ask_voter(e, a, &a->asks[i]);
+    for (size_t i = 0; i < a->n_requests; i++) {
+        if (!a->requests[i].sent) {
+            send_request(e, a, &a->requests[i]);
             return;
         }
     }
@@ -534,12 +538,12 @@
 static void
 attempt_step(struct entry *e, struct attempt *a)
 {
-    size_t majority = a->n_asks / 2 + 1;
+    size_t majority = a->n_requests / 2 + 1;
     struct tally t;
 
     for (;;) {
-        if (attempt_over(e, a)) {
-            end_plain(e, a, CLAIM_OUTCOME_UNAVAILABLE);
+        if (attempt_expired(e, a)) {
+            end_attempt(e, a, CLAIM_OUTCOME_UNAVAILABLE);
             return;
         }
         t = tally_of(e, a);
@@ -547,13 +551,13 @@
                     : decide_claim(e, a, &t, majority)) {
             return;
         }
-        if (t.grants + t.none + t.pending >= majority || t.unasked == 0) {
+        if (t.grants + t.absent + t.pending >= majority || t.unsent == 0) {
             break;
         }
-        ask_next(e, a);
+        request_next_voter(e, a);
     }
-    if (t.pending == 0 && !a->resting) {
-        settle_split(e, a, &t);
+    if (t.pending == 0 && !a->backing_off) {
+        resolve_split_vote(e, a, &t);
     }
 }
 
@@ -561,7 +565,7 @@
 attempt_begin(struct entry *e, struct attempt *a)
 {
     vote_set_start_time(e);
-    attempt_due(e, a, e->opts.claim_timeout_us);
+    attempt_set_timer(e, a, e->opts.claim_timeout_us);
     attempt_step(e, a);
 }
 
@@ -590,18 +594,18 @@
 void
 claims_release(struct entry *e, const struct key_ref *key)
 {
-    release_everywhere(e, key, e->last_call_id);
+    release_at_all_voters(e, key, e->last_call_id);
 }
 
 static void
-ask_again(struct entry *e, struct attempt *a)
+repeat_requests(struct entry *e, struct attempt *a)
 {
-    a->resting = false;
-    for (size_t i = 0; i < a->n_asks; i++) {
-        struct ask *k = &a->asks[i];
+    a->backing_off = false;
+    for (size_t i = 0; i < a->n_requests; i++) {
+        struct voter_request *vr = &a->requests[i];
 
-        if (!k->replied || k->verdict != CLAIM_GRANTED) {
-            ask_voter(e, a, k);
+        if (!vr->replied || vr->verdict != CLAIM_GRANTED) {
+            send_request(e, a, vr);
         }
     }
 }
@@ -614,25 +618,26 @@
 {
     struct tally t;
 
-    if (a->resting) {
-        ask_again(e, a);
+    if (a->backing_off) {
+        repeat_requests(e, a);
     }
     else {
         t = tally_of(e, a);
-        if (t.unasked == 0) {
-            settle_split(e, a, &t);
+        if (t.unsent == 0) {
+            resolve_split_vote(e, a, &t);
             return;
         }
-        ask_next(e, a);
+        request_next_voter(e, a);
     }
-    attempt_due(e, a, e->opts.claim_timeout_us);
+    attempt_set_timer(e, a, e->opts.claim_timeout_us);
     attempt_step(e, a);
 }
 
 /* A grant for an attempt that is over.  Where the key is ours it belongs to
  * it; else it would block the key for the whole window: it is given back. */
 static void
-late_reply(struct entry *e, struct name from, const struct rec_claim_reply *r)
+on_late_reply(struct entry *e, struct name from,
+              const struct rec_claim_reply *r)
 {
     struct key_ref key = {.id = r->key, .zone = r->zone};
 
@@ -647,10 +652,10 @@
     struct attempt *a = map_get(&e->claims->attempts_by_number, &r->attempt);
 
     if (a == NULL) {
-        late_reply(e, from, r);
+        on_late_reply(e, from, r);
         return true;
     }
-    if (!attempt_take(e, a, from, r)) {
+    if (!attempt_store_reply(e, a, from, r)) {
         return false;
     }
     attempt_step(e, a);
@@ -691,32 +696,32 @@
 void
 claims_on_message(struct entry *e, struct name from, const struct msg *m)
 {
-    bool sense = false;
+    bool valid = false;
 
     vote_set_start_time(e);
     switch (m->kind) {
     case MSG_CLAIM:
-        sense = on_claim(e, from, &m->u.claim);
+        valid = on_claim(e, from, &m->u.claim);
         break;
     case MSG_CLAIM_REPLY:
-        sense = on_reply(e, from, &m->u.claim_reply);
+        valid = on_reply(e, from, &m->u.claim_reply);
         break;
     case MSG_CLAIM_RELEASE:
-        sense = vote_release(e, from, &m->u.claim_release);
+        valid = vote_release(e, from, &m->u.claim_release);
         break;
     case MSG_CLAIM_FIND:
-        sense = on_find(e, from, &m->u.claim_find);
+        valid = on_find(e, from, &m->u.claim_find);
         break;
     case MSG_SYNC_REQUEST:
-        sense = claim_sync_on_request(e, from, &m->u.sync_request);
+        valid = claim_sync_on_request(e, from, &m->u.sync_request);
         break;
     case MSG_SYNC_REPLY:
-        sense = claim_sync_on_reply(e, from, &m->u.sync_reply);
+        valid = claim_sync_on_reply(e, from, &m->u.sync_reply);
         break;
     default:
         break;
     }
-    if (!sense) {
+    if (!valid) {
         e->counters.messages_bad++;
         entry_log(e, LOG_WARNING, REASON_BAD_MESSAGE, NULL, -1, from, "%s",
                   msg_name(m->kind));
--- a/src/claim_state.h
+++ b/src/claim_state.h
@@ -37,7 +37,7 @@
     bool synced;
 };
 
-struct voting {
+struct zone_voter {
     bool is_voter;
     bool ready; /* knows all live claims of the zone */
     struct peer_voter peers[PEER_VOTERS_MAX];
@@ -50,7 +50,7 @@
     struct table attempts;
     struct map attempts_by_number;
     struct timers timers;
-    struct voting zone_voters[ZONES_MAX]; /* as members_zones() */
+    struct zone_voter zone_voters[ZONES_MAX]; /* as members_zones() */
     bool started;
     struct moment start;
     int64_t sync_due_us;
--- a/src/claim_sync.c
+++ b/src/claim_sync.c
@@ -12,7 +12,7 @@
 };
 
 static struct peer_voter *
-fellow_of(struct voting *v, struct name name)
+find_peer_voter(struct zone_voter *v, struct name name)
 {
     for (size_t i = 0; v != NULL && i < v->n_peers; i++) {
         if (name_equal(v->peers[i].name, name)) {
@@ -23,7 +23,8 @@
 }
 
 static void
-request_page(struct entry *e, struct name zone, const struct peer_voter *f)
+send_page_request(struct entry *e, struct name zone,
+                  const struct peer_voter *f)
 {
     struct msg m = {.kind = MSG_SYNC_REQUEST};
 
@@ -34,8 +35,8 @@
 }
 
 static void
-copy_record(const struct entry *e, const struct claim *r,
-            struct rec_claim_copy *to)
+encode_record(const struct entry *e, const struct claim *r,
+              struct rec_claim_copy *to)
 {
     to->key = r->id;
     to->expires_us = (uint64_t)r->expires_us;
@@ -67,7 +68,7 @@
     }
     while ((r = table_next(t, &at, &h)) != NULL && h.index <= end) {
         if (r->zone_index == zone && r->expires_us > e->now.wall_us) {
-            copy_record(e, r, &reply->claims[reply->n_claims++]);
+            encode_record(e, r, &reply->claims[reply->n_claims++]);
         }
     }
     reply->more = end < t->places ? 1 : 0;
@@ -77,14 +78,14 @@
 claim_sync_on_request(struct entry *e, struct name from,
                       const struct rec_sync_request *m)
 {
-    struct voting *v = vote_zone_voter(e, m->zone);
-    struct member *asker = members_by_name(e, from);
+    struct zone_voter *v = vote_zone_voter(e, m->zone);
+    struct member *requester = members_by_name(e, from);
     struct msg reply = {.kind = MSG_SYNC_REPLY};
     struct rec_sync_reply *r = &reply.u.sync_reply;
 
-    if (fellow_of(v, from) == NULL ||
+    if (find_peer_voter(v, from) == NULL ||
         m->page > e->claims->records.places / SYNC_PAGE ||
-        !members_mark_seen(e, asker, m->incarnation)) {
+        !members_mark_seen(e, requester, m->incarnation)) {
         return false;
     }
     r->zone = m->zone;
@@ -123,7 +124,7 @@
 }
 
 static bool
-take_copy(struct entry *e, int zone, const struct rec_claim_copy *c)
+store_copy(struct entry *e, int zone, const struct rec_claim_copy *c)
 {
     bool contested = name_empty(c->claimer);
     const struct member *m = members_by_name(e, c->claimer);
@@ -153,7 +154,7 @@
 }
 
 static void
-voting_ready(struct entry *e, struct voting *v, const char *how)
+mark_ready(struct entry *e, struct zone_voter *v, const char *how)
 {
     v->ready = true;
     entry_log(e, LOG_NOTICE, REASON_SYNCED, NULL, -1, name_of(""),
@@ -161,7 +162,7 @@
 }
 
 static void
-fellow_done(struct entry *e, struct voting *v, struct peer_voter *f)
+mark_synced(struct entry *e, struct zone_voter *v, struct peer_voter *f)
 {
     f->synced = true;
     for (size_t i = 0; i < v->n_peers; i++) {
@@ -169,13 +170,13 @@
             return;
         }
     }
-    voting_ready(e, v, "claims taken over from every other voter");
+    mark_ready(e, v, "claims taken over from every other voter");
 }
 
 /* Pages count only within one incarnation of the sender: a later one may have
  * lost what the pages before told. */
 static bool
-page_expected(struct peer_voter *f, const struct rec_sync_reply *m)
+is_expected_page(struct peer_voter *f, const struct rec_sync_reply *m)
 {
     if (m->incarnation != f->incarnation) {
         f->incarnation = m->incarnation;
@@ -189,47 +190,47 @@
 claim_sync_on_reply(struct entry *e, struct name from,
                     const struct rec_sync_reply *m)
 {
-    struct voting *v = vote_zone_voter(e, m->zone);
-    struct peer_voter *f = fellow_of(v, from);
-    bool sense = true;
+    struct zone_voter *v = vote_zone_voter(e, m->zone);
+    struct peer_voter *f = find_peer_voter(v, from);
+    bool valid = true;
 
     if (f == NULL ||
         !members_mark_seen(e, members_by_name(e, from), m->incarnation)) {
         return false;
     }
     if (v->ready || m->ready == 0 ||
-        m->for_incarnation != e->opts.incarnation || !page_expected(f, m)) {
+        m->for_incarnation != e->opts.incarnation || !is_expected_page(f, m)) {
         return true;
     }
     for (size_t i = 0; i < m->n_claims; i++) {
-        sense =
-            take_copy(e, vote_zone_index(e, m->zone), &m->claims[i]) && sense;
+        valid =
+            store_copy(e, vote_zone_index(e, m->zone), &m->claims[i]) && valid;
     }
     if (m->more != 0) {
         f->next_page++;
-        request_page(e, m->zone, f);
+        send_page_request(e, m->zone, f);
     }
-    else if (sense) {
-        fellow_done(e, v, f);
+    else if (valid) {
+        mark_synced(e, v, f);
     }
-    return sense;
+    return valid;
 }
 
 static void
-request_pages(struct entry *e, struct name zone, struct voting *v)
+send_page_requests(struct entry *e, struct name zone, struct zone_voter *v)
 {
     for (size_t i = 0; i < v->n_peers; i++) {
         struct peer_voter *f = &v->peers[i];
 
         if (!f->synced && members_by_name(e, f->name)->up) {
-            request_page(e, zone, f);
+            send_page_request(e, zone, f);
         }
     }
 }
 
 /* What was claimed before this start has run out by itself. */
 static int64_t
-window_over_us(const struct entry *e)
+old_claims_expired_us(const struct entry *e)
 {
     return e->claims->start.mono_us + e->opts.claim_window_us +
            2 * e->opts.clock_skew_us;
@@ -255,19 +256,19 @@
 {
     size_t n;
     const struct name *zones = members_zones(e, &n);
-    bool over = e->now.mono_us >= window_over_us(e);
+    bool expired = e->now.mono_us >= old_claims_expired_us(e);
 
     for (size_t i = 0; i < n; i++) {
-        struct voting *v = &e->claims->zone_voters[i];
+        struct zone_voter *v = &e->claims->zone_voters[i];
 
         if (!v->is_voter || v->ready) {
             continue;
         }
-        if (over) {
-            voting_ready(e, v, "the claim window has passed");
+        if (expired) {
+            mark_ready(e, v, "the claim window has passed");
             continue;
         }
-        request_pages(e, zones[i], v);
+        send_page_requests(e, zones[i], v);
     }
     e->claims->sync_due_us =
         e->now.mono_us + SYNC_TIMEOUTS * e->opts.claim_timeout_us;
@@ -280,11 +281,11 @@
     const struct name *zones = members_zones(e, &n);
 
     for (size_t i = 0; i < n; i++) {
-        struct voting *v = &e->claims->zone_voters[i];
-        struct peer_voter *f = fellow_of(v, member);
+        struct zone_voter *v = &e->claims->zone_voters[i];
+        struct peer_voter *f = find_peer_voter(v, member);
 
         if (v->is_voter && !v->ready && f != NULL && !f->synced) {
-            request_page(e, zones[i], f);
+            send_page_request(e, zones[i], f);
         }
     }
 }
--- a/src/dispatch.c
+++ b/src/dispatch.c
@@ -17,7 +17,7 @@
 enum {
     SERVICES_START = 16,
     ATTEMPTS_MAX = 50, /* starts of one task */
-    ASIDE_MAX = 8,     /* jobs that do not fit now and are passed over */
+    SKIPPED_MAX = 8,   /* jobs that do not fit now and are passed over */
     TOKENS_MAX = 1000, /* re-placements saved up */
     TOKENS_START = 100,
 };
@@ -76,7 +76,7 @@
 }
 
 static void
-read_conf(struct entry *e, struct service_state *s)
+load_conf(struct entry *e, struct service_state *s)
 {
     s->conf = config_service(e->config, s->name);
     s->order = s->conf != NULL ? s->conf->order : ORDER_LEAST_WORK;
@@ -98,7 +98,7 @@
         abort();
     }
     s->name = name;
-    read_conf(e, s);
+    load_conf(e, s);
     d->services[d->n_services++] = s;
     map_put(&d->by_name, s);
     quotas_attach(e, s);
@@ -180,7 +180,7 @@
     struct dispatch *d = e->dispatch;
 
     for (size_t i = 0; i < d->n_services; i++) {
-        read_conf(e, d->services[i]);
+        load_conf(e, d->services[i]);
         dispatch_mark_dirty(e, d->services[i]);
     }
     quotas_reload(e);
@@ -189,7 +189,7 @@
 /* The queue's books */
 
 static void
-rank(struct entry *e, struct service_state *s, struct queued *q)
+update_rank(struct entry *e, struct service_state *s, struct queued *q)
 {
     int64_t work_us =
         estimate_sum_us(&s->run_estimate, q->n_tasks, q->declared_us);
@@ -214,7 +214,7 @@
 }
 
 static void
-put_task(struct entry *e, struct job *job, uint32_t index)
+queue_task(struct entry *e, struct job *job, uint32_t index)
 {
     struct queued *q = job->queue_entry;
 
@@ -225,7 +225,7 @@
 
 /** take_task() - takes the job's next task out of the queue */
 static uint32_t
-take_task(struct entry *e, struct job *job)
+pop_task(struct entry *e, struct job *job)
 {
     struct queued *q = job->queue_entry;
     uint32_t index = q->tasks[q->n_tasks - 1];
@@ -235,7 +235,7 @@
 }
 
 static struct queued *
-new_queued(struct entry *e, struct job *job, struct service_state *s)
+new_queue_entry(struct entry *e, struct job *job, struct service_state *s)
 {
     struct queued *q = calloc(1, sizeof(*q) + job->n_tasks);
     int64_t declared_us = 0;
@@ -259,7 +259,7 @@
 }
 
 static void
-release_queued(struct job *job)
+free_queue_entry(struct job *job)
 {
     struct queued *q = job->queue_entry;
 
@@ -275,7 +275,7 @@
  * so long ones should not be the ones that wait (insertion sort: usually they
  * are all declared alike) */
 static void
-sort_longest_last(const struct job *job, struct queued *q)
+sort_by_run_time(const struct job *job, struct queued *q)
 {
     for (uint32_t i = 1; i < q->n_tasks; i++) {
         uint8_t index = q->tasks[i];
@@ -294,15 +294,15 @@
 dispatch_enqueue(struct entry *e, struct job *job)
 {
     struct service_state *s = dispatch_ensure_service(e, job->service_name);
-    struct queued *q = new_queued(e, job, s);
+    struct queued *q = new_queue_entry(e, job, s);
 
     for (uint32_t i = job->n_tasks; i > 0; i--) {
         if (job->tasks[i - 1].phase == TASK_WAITING) {
-            put_task(e, job, i - 1);
+            queue_task(e, job, i - 1);
         }
     }
-    sort_longest_last(job, q);
-    rank(e, s, q);
+    sort_by_run_time(job, q);
+    update_rank(e, s, q);
     queue_put(&s->queue, q);
     dispatch_mark_dirty(e, s);
 }
@@ -324,7 +324,7 @@
         count_queued(e, job, q, -(int)q->n_tasks, -q->declared_us);
     }
     job->n_sent = 0;
-    release_queued(job);
+    free_queue_entry(job);
 }
 
 void
@@ -332,7 +332,7 @@
 {
     (void)e;
     if (job->n_queued == 0 && job->n_sent == 0) {
-        release_queued(job);
+        free_queue_entry(job);
     }
 }
 
@@ -346,7 +346,7 @@
     struct dispatch *d = e->dispatch;
     struct queued *q = job->queue_entry;
 
-    put_task(e, job, index);
+    queue_task(e, job, index);
     if (charged &&
         (d->retry_tokens < 1 || job->tasks[index].attempts >= ATTEMPTS_MAX)) {
         entry_log(e, LOG_WARNING, REASON_RETRIES_SPENT, &job->id,
@@ -357,13 +357,13 @@
     }
     d->retry_tokens -= charged ? 1 : 0;
     e->counters.tasks_requeued++;
-    rank(e, q->service, q);
+    update_rank(e, q->service, q);
     queue_put(&q->service->queue, q);
     dispatch_mark_dirty(e, q->service);
 }
 
 static void
-earn_token(struct entry *e)
+add_retry_token(struct entry *e)
 {
     struct dispatch *d = e->dispatch;
 
@@ -380,14 +380,14 @@
 static void
 start_next(struct entry *e, struct job *job, struct queued *q, struct place *p)
 {
-    uint32_t index = take_task(e, job);
+    uint32_t index = pop_task(e, job);
 
     q->rack_bits = (q->rack_bits & p->rack_bit) != 0
                        ? p->rack_bit
                        : q->rack_bits | p->rack_bit;
     quotas_task_started(e, q->service);
     starts_send(e, job, index, p);
-    earn_token(e);
+    add_retry_token(e);
 }
 
 /** serve_job() - starts as many of its tasks as there are places for */
@@ -421,12 +421,12 @@
 static enum served
 serve(struct entry *e, struct service_state *s)
 {
-    struct queued *aside[ASIDE_MAX];
-    size_t n_aside = 0;
+    struct queued *skipped[SKIPPED_MAX];
+    size_t n_skipped = 0;
     enum served end = SERVED;
     struct queued *q;
 
-    while (n_aside < ASIDE_MAX && (q = queue_first(&s->queue)) != NULL) {
+    while (n_skipped < SKIPPED_MAX && (q = queue_first(&s->queue)) != NULL) {
         while (borrow_serve_ranked_before(e, s, q->rank_us)) {
         }
         end = s->pool.n_available > 0 ? serve_job(e, s, q) : NO_PLACE;
@@ -437,12 +437,12 @@
         }
         queue_remove(&s->queue, q);
         if (q->n_tasks > 0) {
-            aside[n_aside++] = q;
+            skipped[n_skipped++] = q;
         }
     }
-    for (size_t i = 0; i < n_aside; i++) {
-        rank(e, s, aside[i]);
-        queue_put(&s->queue, aside[i]);
+    for (size_t i = 0; i < n_skipped; i++) {
+        update_rank(e, s, skipped[i]);
+        queue_put(&s->queue, skipped[i]);
     }
     return end;
 }
@@ -515,7 +515,7 @@
 
 /** ours() - whether this instance may start tasks there by its own right */
 static bool
-ours(const struct entry *e, const struct upstream *u)
+may_start(const struct entry *e, const struct upstream *u)
 {
     return u->held || e->opts.placement != PLACE_HOLDER;
 }
@@ -536,10 +536,10 @@
         u->service = s;
         s->n_upstreams++;
     }
-    if (!ours(e, u) && u->place != NULL) {
+    if (!may_start(e, u) && u->place != NULL) {
         slots_close_place(e, u->place);
     }
-    if (ours(e, u) && u->place == NULL) {
+    if (may_start(e, u) && u->place == NULL) {
         slots_add_own(e, s, u);
     }
     slots_on_epoch_raised(e, u);
@@ -600,7 +600,7 @@
 /* Time */
 
 static void
-unblock(struct entry *e, struct service_state *s)
+recheck_blocked(struct entry *e, struct service_state *s)
 {
     for (size_t i = 0; i < s->pool.n_places; i++) {
         struct place *p = s->pool.all_places[i];
@@ -620,7 +620,7 @@
 
 /** next_unblock() - the earliest time that something held back is free */
 static int64_t
-next_unblock(const struct entry *e)
+earliest_recheck_us(const struct entry *e)
 {
     const struct dispatch *d = e->dispatch;
     int64_t next = INT64_MAX;
@@ -650,13 +650,13 @@
         return;
     }
     for (size_t i = 0; i < d->n_services; i++) {
-        unblock(e, d->services[i]);
+        recheck_blocked(e, d->services[i]);
     }
-    d->next_recheck_us = next_unblock(e);
+    d->next_recheck_us = earliest_recheck_us(e);
 }
 
 static int64_t
-earlier(int64_t a, int64_t b)
+min_us(int64_t a, int64_t b)
 {
     return a < b ? a : b;
 }
@@ -664,10 +664,10 @@
 int64_t
 dispatch_next_us(const struct entry *e)
 {
-    int64_t next = earlier(starts_next_us(e), slots_next_us(e));
+    int64_t next = min_us(starts_next_us(e), slots_next_us(e));
 
-    next = earlier(next, quotas_next_us(e));
-    return earlier(next, e->dispatch->next_recheck_us);
+    next = min_us(next, quotas_next_us(e));
+    return min_us(next, e->dispatch->next_recheck_us);
 }
 
 uint32_t
--- a/src/dump.c
+++ b/src/dump.c
@@ -26,7 +26,7 @@
 }
 
 static void
-put(json_t *o, const char *key, uint64_t value)
+put_uint(json_t *o, const char *key, uint64_t value)
 {
     (void)json_object_set_new(o, key, json_integer((json_int_t)value));
 }
@@ -42,7 +42,7 @@
 {
     json_t *o = json_object();
 
-#define COUNTER(name, help) put(o, #name, e->counters.name);
+#define COUNTER(name, help) put_uint(o, #name, e->counters.name);
     COUNTER_LIST(COUNTER)
 #undef COUNTER
     return o;
@@ -62,8 +62,8 @@
         put_text(o, "zone", m->zone.s);
         (void)json_object_set_new(o, "up", json_boolean(m->up));
         (void)json_object_set_new(o, "stopping", json_boolean(m->stopping));
-        put(o, "incarnation", m->incarnation);
-        put(o, "config_version", m->config_version);
+        put_uint(o, "incarnation", m->incarnation);
+        put_uint(o, "config_version", m->config_version);
         (void)json_array_append_new(list, o);
     }
     return list;
@@ -83,12 +83,12 @@
         put_text(o, "service", u->info.service.s);
         put_text(o, "zone", u->info.zone.s);
         put_text(o, "holder", u->info.holder.s);
-        put(o, "incarnation", u->info.incarnation);
-        put(o, "epoch", u->info.epoch);
-        put(o, "slots", u->info.slots);
-        put(o, "running", u->running);
-        put(o, "lent", u->lent);
-        put(o, "foreign", u->foreign_busy);
+        put_uint(o, "incarnation", u->info.incarnation);
+        put_uint(o, "epoch", u->info.epoch);
+        put_uint(o, "slots", u->info.slots);
+        put_uint(o, "running", u->running);
+        put_uint(o, "lent", u->lent);
+        put_uint(o, "foreign", u->foreign_busy);
         (void)json_object_set_new(o, "held", json_boolean(u->held));
         (void)json_object_set_new(o, "leaving",
                                   json_boolean(u->info.leaving != 0));
@@ -110,10 +110,10 @@
     put_text(o, "phase", phases[job->phase]);
     put_text(o, "service", job->service_name.s);
     put_text(o, "reason", reason_text(job->reason));
-    put(o, "tasks", job->n_tasks);
-    put(o, "queued", job->n_queued);
-    put(o, "sent", job->n_sent);
-    put(o, "ended", job->n_ended);
+    put_uint(o, "tasks", job->n_tasks);
+    put_uint(o, "queued", job->n_queued);
+    put_uint(o, "sent", job->n_sent);
+    put_uint(o, "ended", job->n_ended);
     if (job->phase == JOB_JOINED) {
         put_text(o, "claimer", job->claimer.s);
     }
@@ -143,8 +143,8 @@
     size_t n;
     const struct name *zones = members_zones(e, &n);
 
-    put(o, "records", claims_count(e));
-    put(o, "bytes", claims_bytes(e));
+    put_uint(o, "records", claims_count(e));
+    put_uint(o, "bytes", claims_bytes(e));
     for (size_t i = 0; i < n; i++) {
         (void)json_object_set_new(
             voting, zones[i].s, json_boolean(claims_voter_ready(e, zones[i])));
@@ -160,11 +160,11 @@
 
     put_text(root, "instance", e->opts.self.s);
     put_text(root, "zone", e->zone.s);
-    put(root, "incarnation", e->opts.incarnation);
+    put_uint(root, "incarnation", e->opts.incarnation);
     (void)json_object_set_new(root, "stopping", json_boolean(e->stopping));
-    put(root, "config_version", entry_config_version(e));
-    put(root, "tasks_queued", dispatch_count_queued(e));
-    put(root, "tasks_running", dispatch_count_running(e));
+    put_uint(root, "config_version", entry_config_version(e));
+    put_uint(root, "tasks_queued", dispatch_count_queued(e));
+    put_uint(root, "tasks_running", dispatch_count_running(e));
     (void)json_object_set_new(root, "members", dump_members(e));
     (void)json_object_set_new(root, "claims", dump_claims(e));
     (void)json_object_set_new(root, "upstreams", dump_upstreams(e));
--- a/src/entry.c
+++ b/src/entry.c
@@ -179,7 +179,7 @@
 }
 
 static void
-forget_queues(struct entry *e)
+drop_active_jobs(struct entry *e)
 {
     struct job *job;
     uint32_t at = 0;
@@ -197,7 +197,7 @@
     if (e == NULL) {
         return;
     }
-    forget_queues(e);
+    drop_active_jobs(e);
     config_sync_free(e->config_sync);
     dispatch_free(e->dispatch);
     slots_free(e->slots);
@@ -228,7 +228,7 @@
  * and a task would start twice.  A key with a time of issue would be refused
  * as too old; a bare one has none, so for a moment none is taken. */
 static void
-let_go_after_pause(struct entry *e)
+release_after_pause(struct entry *e)
 {
     int64_t gap = e->now.mono_us - e->last_step_us;
 
@@ -342,7 +342,7 @@
 }
 
 static void
-tell_stopped(struct entry *e)
+report_stopped(struct entry *e)
 {
     bool busy = jobs_count_active(e) > 0 || dispatch_count_running(e) > 0;
 
@@ -358,7 +358,7 @@
 }
 
 static void
-route(struct entry *e, const struct event *ev)
+handle_event(struct entry *e, const struct event *ev)
 {
     switch (ev->kind) {
     case EV_TICK:
@@ -428,16 +428,16 @@
 {
     e->now = ev->now;
     e->fx = fx;
-    let_go_after_pause(e);
+    release_after_pause(e);
     e->last_step_us = e->now.mono_us;
-    route(e, ev);
+    handle_event(e, ev);
     dispatch_run(e);
-    tell_stopped(e);
+    report_stopped(e);
     e->fx = NULL;
 }
 
 static int64_t
-earlier(int64_t a, int64_t b)
+min_us(int64_t a, int64_t b)
 {
     return a < b ? a : b;
 }
@@ -447,12 +447,12 @@
 {
     int64_t next = members_next_us(e);
 
-    next = earlier(next, claims_next_us(e));
-    next = earlier(next, jobs_next_us(e));
-    next = earlier(next, upstreams_next_us(e));
-    next = earlier(next, handover_next_us(e));
-    next = earlier(next, dispatch_next_us(e));
-    return earlier(next, config_sync_next_us(e));
+    next = min_us(next, claims_next_us(e));
+    next = min_us(next, jobs_next_us(e));
+    next = min_us(next, upstreams_next_us(e));
+    next = min_us(next, handover_next_us(e));
+    next = min_us(next, dispatch_next_us(e));
+    return min_us(next, config_sync_next_us(e));
 }
 
 bool
--- a/src/explain.c
+++ b/src/explain.c
@@ -13,35 +13,35 @@
 #include "submission.h"
 
 enum {
-    NOTES_START = 4,  /* room of a job's first notes */
-    NOTES_FIRST = 8,  /* that are never overwritten */
-    NOTES_MAX = 16,   /* of one job */
-    RING_SIZE = 4096, /* decisions of note about any key */
+    DECISIONS_MIN_CAPACITY = 4, /* room of a job's first notes */
+    DECISIONS_FIRST = 8,        /* that are never overwritten */
+    DECISIONS_MAX = 16,         /* of one job */
+    RING_SIZE = 4096,           /* decisions of note about any key */
     TIME_SIZE = 40,
 };
 
 /* One decision about a job that is here. */
-struct note {
+struct decision {
     int64_t wall_us;
     uint16_t reason;
     int16_t index;
     struct name subject;
 };
 
-struct notes {
+struct decisions {
     uint32_t n; /* ever noted */
-    uint32_t room;
-    struct note items[];
+    uint32_t capacity;
+    struct decision items[];
 };
 
-struct decision {
+struct ring_entry {
     struct key_id key;
-    struct note note;
+    struct decision decision;
     char detail[DETAIL_SIZE];
 };
 
 struct explain {
-    struct decision *ring;
+    struct ring_entry *ring;
     uint64_t n; /* ever kept */
 };
 
@@ -71,76 +71,79 @@
 size_t
 explain_bytes(const struct job *job)
 {
-    const struct notes *notes = job->notes;
+    const struct decisions *decisions = job->decisions;
 
-    return notes == NULL
+    return decisions == NULL
                ? 0
-               : sizeof(*notes) + notes->room * sizeof(notes->items[0]);
+               : sizeof(*decisions) +
+                     decisions->capacity * sizeof(decisions->items[0]);
 }
 
 void
 explain_clear(struct job *job)
 {
-    free(job->notes);
-    job->notes = NULL;
+    free(job->decisions);
+    job->decisions = NULL;
 }
 
-static struct notes *
-notes_grow(struct notes *notes)
+static struct decisions *
+decisions_grow(struct decisions *decisions)
 {
-    uint32_t room = notes != NULL ? notes->room * 2 : NOTES_START;
-    struct notes *grown =
-        realloc(notes, sizeof(*notes) + room * sizeof(struct note));
+    uint32_t capacity =
+        decisions != NULL ? decisions->capacity * 2 : DECISIONS_MIN_CAPACITY;
+    struct decisions *grown = realloc(
+        decisions, sizeof(*decisions) + capacity * sizeof(struct decision));
 
     if (grown == NULL) {
         abort();
     }
-    if (notes == NULL) {
+    if (decisions == NULL) {
         grown->n = 0;
     }
-    grown->room = room;
+    grown->capacity = capacity;
     return grown;
 }
 
 /* Where the nth note goes: how a job began and what came last say most. */
 static uint32_t
-note_place(uint32_t n)
+decision_index(uint32_t n)
 {
-    if (n < NOTES_MAX) {
+    if (n < DECISIONS_MAX) {
         return n;
     }
-    return NOTES_FIRST + (n - NOTES_FIRST) % (NOTES_MAX - NOTES_FIRST);
+    return DECISIONS_FIRST +
+           (n - DECISIONS_FIRST) % (DECISIONS_MAX - DECISIONS_FIRST);
 }
 
 void
 explain_record(struct entry *e, struct job *job, enum reason reason,
                int32_t index, struct name subject)
 {
-    struct notes *notes = job->notes;
-    uint32_t place = notes != NULL ? note_place(notes->n) : 0;
+    struct decisions *decisions = job->decisions;
+    uint32_t at = decisions != NULL ? decision_index(decisions->n) : 0;
 
-    if (notes == NULL || place >= notes->room) {
-        notes = notes_grow(notes);
-        job->notes = notes;
+    if (decisions == NULL || at >= decisions->capacity) {
+        decisions = decisions_grow(decisions);
+        job->decisions = decisions;
     }
-    notes->items[place] = (struct note){.wall_us = e->now.wall_us,
-                                        .reason = (uint16_t)reason,
-                                        .index = (int16_t)index,
-                                        .subject = subject};
-    notes->n++;
+    decisions->items[at] = (struct decision){.wall_us = e->now.wall_us,
+                                             .reason = (uint16_t)reason,
+                                             .index = (int16_t)index,
+                                             .subject = subject};
+    decisions->n++;
 }
 
 static void
 ring_add(struct entry *e, const struct ef_log *log)
 {
     struct explain *x = e->explain;
-    struct decision *d = &x->ring[x->n++ % RING_SIZE];
+    struct ring_entry *d = &x->ring[x->n++ % RING_SIZE];
 
     d->key = log->key;
-    d->note.wall_us = e->now.wall_us;
-    d->note.reason = (uint16_t)log->reason;
-    d->note.index = (int16_t)log->index;
-    d->note.subject = log->subject;
+    d->decision.wall_us = e->now.wall_us;
+    d->decision.reason = (uint16_t)log->reason;
+    d->decision.index = (int16_t)log->index;
+    d->decision.subject = log->subject;
     memcpy(d->detail, log->detail, sizeof(d->detail));
 }
 
@@ -160,10 +163,10 @@
 /* ---- as JSON ---- */
 
 static json_t *
-note_json(const struct note *note, const char *detail)
+decision_json(const struct decision *decision, const char *detail)
 {
     json_t *o = json_object();
-    time_t seconds = (time_t)(note->wall_us / USEC_PER_SEC);
+    time_t seconds = (time_t)(decision->wall_us / USEC_PER_SEC);
     char day[TIME_SIZE];
     char text[TIME_SIZE + TIME_SIZE];
     struct tm tm;
@@ -171,15 +174,16 @@
     (void)gmtime_r(&seconds, &tm);
     (void)strftime(day, sizeof(day), "%Y-%m-%dT%H:%M:%S", &tm);
     (void)snprintf(text, sizeof(text), "%s.%06dZ", day,
-                   (int)(note->wall_us % USEC_PER_SEC));
+                   (int)(decision->wall_us % USEC_PER_SEC));
     (void)json_object_set_new(o, "time", json_string(text));
     (void)json_object_set_new(
-        o, "reason", json_string(reason_text((enum reason)note->reason)));
-    if (note->index >= 0) {
-        (void)json_object_set_new(o, "task", json_integer(note->index));
+        o, "reason", json_string(reason_text((enum reason)decision->reason)));
+    if (decision->index >= 0) {
+        (void)json_object_set_new(o, "task", json_integer(decision->index));
     }
-    if (!name_empty(note->subject)) {
-        (void)json_object_set_new(o, "subject", json_string(note->subject.s));
+    if (!name_empty(decision->subject)) {
+        (void)json_object_set_new(o, "subject",
+                                  json_string(decision->subject.s));
     }
     if (detail != NULL && detail[0] != '\0') {
         (void)json_object_set_new(o, "detail", json_string(detail));
@@ -194,10 +198,11 @@
     uint64_t from = x->n > RING_SIZE ? x->n - RING_SIZE : 0;
 
     for (uint64_t i = from; i < x->n; i++) {
-        const struct decision *d = &x->ring[i % RING_SIZE];
+        const struct ring_entry *d = &x->ring[i % RING_SIZE];
 
         if (key_id_equal(d->key, id)) {
-            (void)json_array_append_new(list, note_json(&d->note, d->detail));
+            (void)json_array_append_new(
+                list, decision_json(&d->decision, d->detail));
         }
     }
     return list;
@@ -206,17 +211,18 @@
 /* In the order in which they were noted; what was overwritten in between is
  * counted. */
 static json_t *
-notes_json(const struct notes *notes, json_t *root)
+decisions_json(const struct decisions *decisions, json_t *root)
 {
     json_t *list = json_array();
-    uint32_t n = notes != NULL ? notes->n : 0;
-    uint32_t left_out = n > NOTES_MAX ? n - NOTES_MAX : 0;
+    uint32_t n = decisions != NULL ? decisions->n : 0;
+    uint32_t left_out = n > DECISIONS_MAX ? n - DECISIONS_MAX : 0;
 
     for (uint32_t i = 0; i < n; i++) {
-        if (i < NOTES_FIRST || i >= NOTES_FIRST + left_out) {
-            const struct note *note = &notes->items[note_place(i)];
+        if (i < DECISIONS_FIRST || i >= DECISIONS_FIRST + left_out) {
+            const struct decision *decision =
+                &decisions->items[decision_index(i)];
 
-            (void)json_array_append_new(list, note_json(note, NULL));
+            (void)json_array_append_new(list, decision_json(decision, NULL));
         }
     }
     (void)json_object_set_new(root, "left_out", json_integer(left_out));
@@ -277,7 +283,7 @@
     if (job != NULL) {
         (void)json_object_set_new(root, "job", dump_job(job));
         (void)json_object_set_new(root, "decisions",
-                                  notes_json(job->notes, root));
+                                  decisions_json(job->decisions, root));
     }
     (void)json_object_set_new(root, "of_note", ring_json(e->explain, key.id));
     dump_send_reply(e, q->request, root);
--- a/src/job_caller.c
+++ b/src/job_caller.c
@@ -6,7 +6,9 @@
 #include "job_state.h"
 #include "submission.h"
 
-#define FRESH_US (1 * USEC_PER_SEC) /* age of a key not submitted before */
+#define FRESH_KEY_US                                                          \
+    (1 * USEC_PER_SEC) /* age of a key not submitted before                   \
+                        */
 
 enum {
     MINT_MAX = 1000,
@@ -26,8 +28,8 @@
 }
 
 static void
-refuse_plain(struct entry *e, uint64_t request, enum problem problem,
-             int64_t retry_after_us, const char *detail)
+refuse_not_started(struct entry *e, uint64_t request, enum problem problem,
+                   int64_t retry_after_us, const char *detail)
 {
     struct ef_problem p = {.problem = problem,
                            .retry_after_us = retry_after_us,
@@ -41,21 +43,22 @@
 refuse_stopping(struct entry *e, uint64_t request)
 {
     e->counters.jobs_refused++;
-    refuse_plain(e, request, PROBLEM_STOPPING, entry_jitter(e, USEC_PER_SEC),
-                 "another instance takes it");
+    refuse_not_started(e, request, PROBLEM_STOPPING,
+                       entry_jitter(e, USEC_PER_SEC),
+                       "another instance takes it");
 }
 
 static void
-refuse_past(struct entry *e, uint64_t request, const struct past *p,
-            uint64_t digest)
+refuse_ended(struct entry *e, uint64_t request, const struct used_key *p,
+             uint64_t digest)
 {
     if (digest != 0 && p->digest != 0 && digest != p->digest) {
-        refuse_plain(e, request, PROBLEM_CONFLICT, 0,
-                     "the key was used with another body");
+        refuse_not_started(e, request, PROBLEM_CONFLICT, 0,
+                           "the key was used with another body");
         return;
     }
-    refuse_plain(e, request, PROBLEM_FORGOTTEN, 0,
-                 "the job ended; its answer is no longer kept");
+    refuse_not_started(e, request, PROBLEM_FORGOTTEN, 0,
+                       "the job ended; its answer is no longer kept");
 }
 
 static void
@@ -68,7 +71,7 @@
 }
 
 static void
-submit_again(struct entry *e, const struct ev_submit *ev, struct job *job)
+submit_existing(struct entry *e, const struct ev_submit *ev, struct job *job)
 {
     struct waiter w = {.request = ev->request,
                        .n_tasks = (uint32_t)ev->spec->n_tasks,
@@ -77,8 +80,8 @@
     if (job_digest_differs(job, ev->spec->digest)) {
         entry_log(e, LOG_INFO, REASON_KEY_CONFLICT, &job->id, -1, name_of(""),
                   "submitted here with another body");
-        refuse_plain(e, ev->request, PROBLEM_CONFLICT, 0,
-                     "the key was used with another body");
+        refuse_not_started(e, ev->request, PROBLEM_CONFLICT, 0,
+                           "the key was used with another body");
         return;
     }
     e->counters.jobs_joined++;
@@ -133,7 +136,7 @@
     struct admission a;
 
     if (e->opts.placement != PLACE_HOLDER ||
-        job->key.issued_us + FRESH_US < e->now.wall_us) {
+        job->key.issued_us + FRESH_KEY_US < e->now.wall_us) {
         return false;
     }
     a = dispatch_admit(e, job);
@@ -181,11 +184,11 @@
     }
     job = jobs_by_key(e, key.id);
     if (job != NULL) {
-        submit_again(e, ev, job);
+        submit_existing(e, ev, job);
     }
     else if (job_find_used_key(e, key.id) != NULL) {
-        refuse_past(e, ev->request, job_find_used_key(e, key.id),
-                    ev->spec->digest);
+        refuse_ended(e, ev->request, job_find_used_key(e, key.id),
+                     ev->spec->digest);
     }
     else if (e->stopping) {
         refuse_stopping(e, ev->request);
@@ -235,7 +238,7 @@
         job_add_waiter(e, job, &w);
     }
     else if (job_find_used_key(e, key.id) != NULL) {
-        refuse_past(e, ev->request, job_find_used_key(e, key.id), 0);
+        refuse_ended(e, ev->request, job_find_used_key(e, key.id), 0);
     }
     else if (e->stopping) {
         refuse_stopping(e, ev->request);
@@ -280,7 +283,7 @@
         job_cancel(e, job);
     }
     else if (job_find_used_key(e, key.id) != NULL) {
-        refuse_past(e, ev->request, job_find_used_key(e, key.id), 0);
+        refuse_ended(e, ev->request, job_find_used_key(e, key.id), 0);
     }
     else if (e->stopping) {
         refuse_stopping(e, ev->request);
--- a/src/job_peer.c
+++ b/src/job_peer.c
@@ -5,13 +5,13 @@
 #include "successor.h"
 
 static uint64_t
-wait_number(struct handle h)
+wait_id_of(struct handle h)
 {
     return ((uint64_t)h.index << 32) | h.generation;
 }
 
 static struct job *
-job_of_wait(const struct entry *e, uint64_t wait)
+job_by_wait_id(const struct entry *e, uint64_t wait)
 {
     struct handle h = {.index = (uint32_t)(wait >> 32),
                        .generation = (uint32_t)wait};
@@ -27,7 +27,7 @@
 
     w->key = job->id;
     w->digest = job->digest;
-    w->wait = wait_number(job->self);
+    w->wait = wait_id_of(job->self);
     w->cancel = job->cancel_requested ? 1 : 0;
     w->peek = job->no_wait ? 1 : 0;
     /* No incarnation is 0: who does not know the answer says it is lost. */
@@ -36,7 +36,7 @@
 }
 
 static bool
-claimer_gone(const struct entry *e, const struct job *job)
+claimer_is_lost(const struct entry *e, const struct job *job)
 {
     const struct member *m = members_by_name(e, job->claimer);
 
@@ -49,7 +49,7 @@
 
 /* What the claimer started, nobody can tell. */
 static void
-give_up_claimer(struct entry *e, struct job *job)
+end_claimer_lost(struct entry *e, struct job *job)
 {
     entry_log(e, LOG_WARNING, REASON_CLAIMER_LOST, &job->id, -1, job->claimer,
               "incarnation %llu",
@@ -66,7 +66,7 @@
 /* This instance is the successor itself.  A submission would have found the
  * answer under its key; a question by key alone finds it here. */
 static void
-look_here(struct entry *e, struct job *job)
+answer_as_successor(struct entry *e, struct job *job)
 {
     struct job *kept = jobs_by_key(e, job->id);
 
@@ -80,7 +80,7 @@
                                "the job ended; its answer is no longer kept");
         return;
     }
-    give_up_claimer(e, job);
+    end_claimer_lost(e, job);
 }
 
 /* The instance that ran the job is gone or another incarnation of it is
@@ -88,17 +88,17 @@
  * asking there, every planned stop would turn complete jobs into unknown
  * ones for callers that lost their connection. */
 static void
-claimer_lost(struct entry *e, struct job *job)
+on_claimer_lost(struct entry *e, struct job *job)
 {
     struct name at = job->claimer;
     uint64_t incarnation = job->claimer_incarnation;
 
     if (!successors_follow(e, &at, &incarnation)) {
-        give_up_claimer(e, job);
+        end_claimer_lost(e, job);
         return;
     }
     if (name_equal(at, e->opts.self) && incarnation == e->opts.incarnation) {
-        look_here(e, job);
+        answer_as_successor(e, job);
         return;
     }
     entry_log(e, LOG_INFO, REASON_CLAIM_ELSEWHERE, &job->id, -1, at,
@@ -107,8 +107,8 @@
     job->claimer_incarnation = incarnation;
     job->at_successor = true;
     job->claimer_lost_at_us = e->now.mono_us + e->opts.member_timeout_us;
-    if (claimer_gone(e, job)) {
-        give_up_claimer(e, job);
+    if (claimer_is_lost(e, job)) {
+        end_claimer_lost(e, job);
         return;
     }
     job_send_wait(e, job);
@@ -116,7 +116,7 @@
 }
 
 static void
-take_running(struct entry *e, struct job *job)
+answer_running(struct entry *e, struct job *job)
 {
     struct job_answer *a = job_answer_create(0, JOB_RUNNING, REASON_NONE);
 
@@ -128,16 +128,16 @@
 /* The claimer has the same deadline or an earlier one, and its answer is on
  * the way then: a little patience turns an unknown into an answer. */
 static int64_t
-joined_end_us(const struct entry *e, const struct job *job)
+wait_deadline_us(const struct entry *e, const struct job *job)
 {
     return job->deadline_us + 2 * e->opts.claim_timeout_us;
 }
 
 static void
-joined_over(struct entry *e, struct job *job)
+on_wait_deadline(struct entry *e, struct job *job)
 {
     if (job->n_tasks == 0) {
-        take_running(e, job);
+        answer_running(e, job);
         return;
     }
     entry_log(e, LOG_INFO, REASON_DEADLINE, &job->id, -1, job->claimer,
@@ -151,14 +151,14 @@
 job_retry_wait(struct entry *e, struct job *job)
 {
     int64_t next = e->now.mono_us + e->opts.member_timeout_us;
-    int64_t end = joined_end_us(e, job);
+    int64_t end = wait_deadline_us(e, job);
 
-    if (claimer_gone(e, job)) {
-        claimer_lost(e, job);
+    if (claimer_is_lost(e, job)) {
+        on_claimer_lost(e, job);
         return;
     }
     if (e->now.mono_us >= end) {
-        joined_over(e, job);
+        on_wait_deadline(e, job);
         return;
     }
     job_send_wait(e, job);
@@ -190,9 +190,10 @@
 }
 
 static void
-wait_unknown(struct entry *e, struct name from, const struct rec_job_wait *m)
+reply_unknown_job(struct entry *e, struct name from,
+                  const struct rec_job_wait *m)
 {
-    const struct past *p = job_find_used_key(e, m->key);
+    const struct used_key *p = job_find_used_key(e, m->key);
     enum wait_outcome outcome = WAIT_RELEASED;
 
     if (p != NULL) {
@@ -207,8 +208,8 @@
 }
 
 static void
-wait_known(struct entry *e, struct name from, const struct rec_job_wait *m,
-           struct job *job)
+reply_known_job(struct entry *e, struct name from,
+                const struct rec_job_wait *m, struct job *job)
 {
     struct waiter w = {.instance = from, .wait_id = m->wait};
 
@@ -243,10 +244,10 @@
         return false;
     }
     if (job == NULL) {
-        wait_unknown(e, from, m);
+        reply_unknown_job(e, from, m);
     }
     else {
-        wait_known(e, from, m, job);
+        reply_known_job(e, from, m, job);
     }
     return true;
 }
@@ -286,7 +287,7 @@
 }
 
 static bool
-answer_fits(const struct job *job, const struct rec_job_answer *m)
+answer_matches(const struct job *job, const struct rec_job_answer *m)
 {
     bool cancelled = m->n_tasks == 0 && m->status == JOB_FAILED &&
                      m->reason == REASON_CANCELLED;
@@ -296,11 +297,12 @@
 }
 
 static bool
-take_answer(struct entry *e, struct job *job, const struct rec_job_answer *m)
+on_wait_answer(struct entry *e, struct job *job,
+               const struct rec_job_answer *m)
 {
     struct job_answer *a;
 
-    if (!answer_fits(job, m)) {
+    if (!answer_matches(job, m)) {
         return false;
     }
     a = job_answer_decode(m->status, m->reason, m->tasks, m->n_tasks);
@@ -313,7 +315,7 @@
 }
 
 static void
-take_released(struct entry *e, struct job *job)
+on_wait_released(struct entry *e, struct job *job)
 {
     entry_log(e, LOG_INFO, REASON_CLAIMER_RELEASED, &job->id, -1, job->claimer,
               "it gave the key up");
@@ -330,7 +332,7 @@
 static bool
 on_answer(struct entry *e, struct name from, const struct rec_job_answer *m)
 {
-    struct job *job = job_of_wait(e, m->wait);
+    struct job *job = job_by_wait_id(e, m->wait);
 
     if (job == NULL || job->phase != JOB_JOINED ||
         !key_id_equal(job->id, m->key) || !name_equal(job->claimer, from)) {
@@ -338,10 +340,10 @@
     }
     switch (m->outcome) {
     case WAIT_ANSWER:
-        return take_answer(e, job, m);
+        return on_wait_answer(e, job, m);
     case WAIT_RUNNING:
         if (job->no_wait) {
-            take_running(e, job);
+            answer_running(e, job);
         }
         return true;
     case WAIT_CONFLICT:
@@ -349,14 +351,14 @@
                                "the key was used with another body");
         return true;
     case WAIT_RELEASED:
-        take_released(e, job);
+        on_wait_released(e, job);
         return true;
     case WAIT_FORGOTTEN:
         job_refuse_not_started(e, job, PROBLEM_FORGOTTEN, 0, WAIT_RELEASED,
                                "the job ended; its answer is no longer kept");
         return true;
     case WAIT_LOST:
-        claimer_lost(e, job);
+        on_claimer_lost(e, job);
         return true;
     default:
         return false;
@@ -366,11 +368,11 @@
 void
 jobs_on_message(struct entry *e, struct name from, const struct msg *m)
 {
-    bool sense = m->kind == MSG_JOB_WAIT
+    bool valid = m->kind == MSG_JOB_WAIT
                      ? on_wait(e, from, &m->u.job_wait)
                      : on_answer(e, from, &m->u.job_answer);
 
-    if (!sense) {
+    if (!valid) {
         e->counters.messages_bad++;
         entry_log(e, LOG_WARNING, REASON_BAD_MESSAGE, NULL, -1, from, "%s",
                   msg_name(m->kind));
@@ -385,8 +387,8 @@
 
     while ((job = jobs_next(e, &at)) != NULL) {
         if (job->phase == JOB_JOINED && name_equal(job->claimer, member) &&
-            claimer_gone(e, job)) {
-            claimer_lost(e, job);
+            claimer_is_lost(e, job)) {
+            on_claimer_lost(e, job);
         }
     }
 }
--- a/src/job_state.h
+++ b/src/job_state.h
@@ -13,7 +13,7 @@
 #include "waiter.h"
 
 /* What is left of a job whose answer is not kept any more. */
-struct past {
+struct used_key {
     struct key_id id; /* first: looked up by it */
     struct handle self;
     uint64_t digest;
@@ -47,7 +47,8 @@
 void job_set_timer(struct entry *e, struct job *job, int64_t at_us);
 
 /** job_find_used_key() - what is left of an ended job, or NULL */
-const struct past *job_find_used_key(const struct entry *e, struct key_id id);
+const struct used_key *job_find_used_key(const struct entry *e,
+                                         struct key_id id);
 
 /** job_answer_create() - an answer of @n_tasks tasks, all not run */
 struct job_answer *job_answer_create(size_t n_tasks, enum job_status status,
--- a/src/jobs.c
+++ b/src/jobs.c
@@ -20,7 +20,7 @@
     table_init(&j->table, sizeof(struct job));
     map_init(&j->by_key, MAP_KEY_ID);
     map_init(&j->waiters_by_request, MAP_U64);
-    table_init(&j->used_keys, sizeof(struct past));
+    table_init(&j->used_keys, sizeof(struct used_key));
     map_init(&j->used_keys_by_id, MAP_KEY_ID);
     return j;
 }
@@ -39,7 +39,7 @@
 /* With many small jobs the records weigh more than the answers; a bound on
  * the answers alone would let the process grow past its memory. */
 static size_t
-kept_size(const struct job *job)
+memory_size(const struct job *job)
 {
     const struct job_answer *a = job->answer;
     size_t size = sizeof(*job) + explain_bytes(job) + sizeof(*a) +
@@ -52,7 +52,7 @@
 }
 
 static void
-drop_answer(struct jobs *j, struct job *job)
+free_answer(struct jobs *j, struct job *job)
 {
     if (job->answer == NULL) {
         return;
@@ -70,7 +70,7 @@
     waiters_free(&j->waiters_by_request, job);
     job_free_tasks(job);
     explain_clear(job);
-    drop_answer(j, job);
+    free_answer(j, job);
     if (job->phase != JOB_ENDED) {
         j->n_active--;
     }
@@ -136,7 +136,7 @@
     return e->jobs->answer_bytes;
 }
 
-const struct past *
+const struct used_key *
 job_find_used_key(const struct entry *e, struct key_id id)
 {
     return map_get(&e->jobs->used_keys_by_id, &id);
@@ -180,11 +180,11 @@
 /* An ended job shrinks in two steps: its whole answer is kept for some time,
  * then only that the key was used, for as long as voters know it. */
 static void
-forget_answer(struct entry *e, struct job *job)
+expire_answer(struct entry *e, struct job *job)
 {
     struct jobs *j = e->jobs;
     struct handle h;
-    struct past *p = table_add(&j->used_keys, &h);
+    struct used_key *p = table_add(&j->used_keys, &h);
 
     p->id = job->id;
     p->self = h;
@@ -198,7 +198,7 @@
 }
 
 static void
-bound_answers(struct entry *e)
+limit_answers(struct entry *e)
 {
     struct jobs *j = e->jobs;
     struct handle h;
@@ -208,7 +208,7 @@
         struct job *job = table_get(&j->table, h);
 
         if (job != NULL) {
-            forget_answer(e, job);
+            expire_answer(e, job);
         }
     }
 }
@@ -219,15 +219,15 @@
 {
     struct jobs *j = e->jobs;
 
-    job->kept_bytes = kept_size(job);
+    job->kept_bytes = memory_size(job);
     j->answer_bytes += job->kept_bytes;
     timers_add(&j->answer_timers, job->ended_us + e->opts.answer_keep_us,
                job->self);
-    bound_answers(e);
+    limit_answers(e);
 }
 
 static void
-count_end(struct entry *e, const struct job_answer *a)
+count_ended(struct entry *e, const struct job_answer *a)
 {
     if (a->status == JOB_COMPLETE) {
         e->counters.jobs_complete++;
@@ -250,7 +250,7 @@
     job->answer = answer;
     j->n_active--;
     job_free_tasks(job);
-    count_end(e, answer);
+    count_ended(e, answer);
     entry_log(e, answer->status == JOB_COMPLETE ? LOG_DEBUG : LOG_INFO,
               answer->reason, &job->id, -1, name_of(""),
               "%s after %lld us, %zu tasks",
@@ -291,7 +291,7 @@
 }
 
 static enum task_state
-state_of(const struct task *t)
+task_state_of(const struct task *t)
 {
     switch (t->phase) {
     case TASK_ENDED:
@@ -311,8 +311,9 @@
     struct job_answer *a = job_answer_create(job->n_tasks, JOB_FAILED, reason);
 
     for (uint32_t i = 0; job->tasks != NULL && i < job->n_tasks; i++) {
-        a->tasks[i].state =
-            MUTANT(e, SENT_NOT_RUN) ? TASK_NOT_RUN : state_of(&job->tasks[i]);
+        a->tasks[i].state = MUTANT(e, SENT_NOT_RUN)
+                                ? TASK_NOT_RUN
+                                : task_state_of(&job->tasks[i]);
         a->tasks[i].ok = job->tasks[i].phase == TASK_ENDED && job->tasks[i].ok;
         if (a->tasks[i].state == TASK_UNKNOWN) {
             e->counters.tasks_unknown++;
@@ -408,7 +409,7 @@
         a->tasks[i].state = TASK_UNKNOWN;
         e->counters.tasks_unknown++;
     }
-    count_end(e, a);
+    count_ended(e, a);
     waiters_answer(e, &e->jobs->waiters_by_request, job, a);
     job_answer_free(a);
     job_remove(e, job);
@@ -449,7 +450,7 @@
 }
 
 static void
-job_start(struct entry *e, struct job *job)
+start_job(struct entry *e, struct job *job)
 {
     struct admission a = {.admitted = false,
                           .problem = PROBLEM_UNKNOWN_SERVICE,
@@ -477,7 +478,7 @@
 }
 
 static void
-on_won(struct entry *e, struct job *job)
+on_claim_won(struct entry *e, struct job *job)
 {
     enum reason end = REASON_NONE;
 
@@ -494,11 +495,11 @@
         job_end(e, job, job_build_failed_answer(e, job, end));
         return;
     }
-    job_start(e, job);
+    start_job(e, job);
 }
 
 static void
-on_other(struct entry *e, struct job *job, const struct claim_result *r)
+on_claim_taken(struct entry *e, struct job *job, const struct claim_result *r)
 {
     if (job->digest != 0 && r->digest != 0 && job->digest != r->digest) {
         entry_log(e, LOG_INFO, REASON_KEY_CONFLICT, &job->id, -1, r->claimer,
@@ -511,7 +512,7 @@
 }
 
 static void
-on_unavailable(struct entry *e, struct job *job)
+on_claim_unavailable(struct entry *e, struct job *job)
 {
     entry_log(e, LOG_WARNING, REASON_CLAIM_UNAVAILABLE, &job->id, -1,
               job->key.zone, "after %lld us",
@@ -532,10 +533,10 @@
     }
     switch (r->outcome) {
     case CLAIM_OUTCOME_WON:
-        on_won(e, job);
+        on_claim_won(e, job);
         break;
     case CLAIM_OUTCOME_TAKEN:
-        on_other(e, job, r);
+        on_claim_taken(e, job, r);
         break;
     case CLAIM_OUTCOME_ABSENT:
         job_refuse_not_started(e, job, PROBLEM_UNKNOWN_JOB, 0, WAIT_RELEASED,
@@ -546,7 +547,7 @@
                                "the key's window is over");
         break;
     default:
-        on_unavailable(e, job);
+        on_claim_unavailable(e, job);
         break;
     }
 }
@@ -563,11 +564,11 @@
 }
 
 static void
-job_timer(struct entry *e, struct job *job)
+job_on_timer(struct entry *e, struct job *job)
 {
     switch (job->phase) {
     case JOB_CLAIMING:
-        on_unavailable(e, job);
+        on_claim_unavailable(e, job);
         break;
     case JOB_JOINED:
         job_retry_wait(e, job);
@@ -581,13 +582,13 @@
 }
 
 static void
-past_expire(struct entry *e)
+expire_used_keys(struct entry *e)
 {
     struct jobs *j = e->jobs;
     struct handle h;
 
     while (timers_pop(&j->used_keys_due, e->now.mono_us, &h)) {
-        struct past *p = table_get(&j->used_keys, h);
+        struct used_key *p = table_get(&j->used_keys, h);
 
         if (p != NULL) {
             (void)map_remove(&j->used_keys_by_id, &p->id);
@@ -606,16 +607,16 @@
     while (timers_pop(&j->job_timers, e->now.mono_us, &h)) {
         job = table_get(&j->table, h);
         if (job != NULL && job->next_timer_us <= e->now.mono_us) {
-            job_timer(e, job);
+            job_on_timer(e, job);
         }
     }
     while (timers_pop(&j->answer_timers, e->now.mono_us, &h)) {
         job = table_get(&j->table, h);
         if (job != NULL) {
-            forget_answer(e, job);
+            expire_answer(e, job);
         }
     }
-    past_expire(e);
+    expire_used_keys(e);
 }
 
 int64_t
--- a/src/jobs.h
+++ b/src/jobs.h
@@ -58,10 +58,10 @@
     enum job_status status;
     enum reason reason;
     int64_t ended_us;
-    size_t kept_bytes;      /* that the ended job and its answer take */
-    struct notes *notes;    /* of explain.c */
-    struct waiter *waiters; /* of jobs.c: callers and instances */
-    struct name claimer;    /* JOB_JOINED */
+    size_t kept_bytes;           /* that the ended job and its answer take */
+    struct decisions *decisions; /* of explain.c */
+    struct waiter *waiters;      /* of jobs.c: callers and instances */
+    struct name claimer;         /* JOB_JOINED */
     uint64_t claimer_incarnation;
     bool at_successor;     /* the claimer named is a successor that keeps its
                               answers */
--- a/src/place.c
+++ b/src/place.c
@@ -7,12 +7,12 @@
 #include "upstream.h"
 
 enum {
-    POOL_START_ROOM = 16,
-    LOOK_AT = 8,        /* places of a level compared with one another */
-    LOAD_LEVELS = 8,    /* levels that tell how loaded an upstream is */
-    FAR_LEVEL = 8,      /* of slots in another zone */
-    RANDOM_TRIES = 8,   /* before all places are looked through */
-    REFUSALS_COUNT = 7, /* refusals in a row that lengthen a block */
+    POOL_MIN_CAPACITY = 16,
+    EXAMINED_MAX = 8,    /* places of a level compared with one another */
+    LOAD_LEVELS = 8,     /* levels that tell how loaded an upstream is */
+    REMOTE_LEVEL = 8,    /* of slots in another zone */
+    RANDOM_TRIES = 8,    /* before all places are looked through */
+    BLOCK_DOUBLINGS = 7, /* refusals in a row that lengthen a block */
 };
 
 #define BLOCK_US (10 * USEC_PER_MSEC)
@@ -24,7 +24,7 @@
 }
 
 static uint32_t
-free_of_own(const struct entry *e, const struct upstream *u)
+upstream_free_slots(const struct entry *e, const struct upstream *u)
 {
     if (u->info.leaving) {
         return 0;
@@ -42,7 +42,7 @@
         return 0;
     }
     if (place_is_own(p)) {
-        return free_of_own(e, p->upstream);
+        return upstream_free_slots(e, p->upstream);
     }
     if (p->expires_us <= e->now.mono_us || p->slots_used >= p->slots) {
         return 0;
@@ -54,7 +54,7 @@
 }
 
 static uint64_t
-times(uint64_t have, uint64_t used, uint64_t need)
+count_fitting(uint64_t have, uint64_t used, uint64_t need)
 {
     if (need == 0) {
         return UINT32_MAX;
@@ -63,20 +63,22 @@
 }
 
 static uint64_t
-least(uint64_t a, uint64_t b)
+min_u64(uint64_t a, uint64_t b)
 {
     return a < b ? a : b;
 }
 
 /** resources_times() - how often a need fits into what an upstream has left */
 static uint64_t
-resources_times(const struct upstream *u, struct resources need)
+tasks_fitting(const struct upstream *u, struct resources need)
 {
-    uint64_t n = times(u->info.cpu_milli, u->used.cpu_milli, need.cpu_milli);
+    uint64_t n =
+        count_fitting(u->info.cpu_milli, u->used.cpu_milli, need.cpu_milli);
 
-    n = least(n, times(u->info.memory_mb, u->used.memory_mb, need.memory_mb));
-    return least(n, times(u->info.accelerators, u->used.accelerators,
-                          need.accelerators));
+    n = min_u64(n, count_fitting(u->info.memory_mb, u->used.memory_mb,
+                                 need.memory_mb));
+    return min_u64(n, count_fitting(u->info.accelerators, u->used.accelerators,
+                                    need.accelerators));
 }
 
 uint32_t
@@ -89,7 +91,7 @@
         return 0;
     }
     if (place_is_own(p)) {
-        return (uint32_t)least(n, resources_times(p->upstream, need));
+        return (uint32_t)min_u64(n, tasks_fitting(p->upstream, need));
     }
     return resources_fit(need, p->slot_size) ? n : 0;
 }
@@ -111,12 +113,12 @@
         level = (usable - place_free_slots(e, p)) * LOAD_LEVELS / usable;
     }
     else if (!name_equal(p->zone, e->zone)) {
-        level = FAR_LEVEL;
+        level = REMOTE_LEVEL;
     }
     if (u != NULL) {
         level += health_penalty(u);
     }
-    return (uint8_t)least(level, PLACE_LEVELS - 1);
+    return (uint8_t)min_u64(level, PLACE_LEVELS - 1);
 }
 
 static void
@@ -143,7 +145,7 @@
 
 /** list_last() - the last of its level, so that equals take turns */
 static void
-list_last(struct place *p, uint8_t level)
+list_append(struct place *p, uint8_t level)
 {
     struct pool *pool = p->pool;
     struct place *first = pool->level_lists[level];
@@ -170,7 +172,7 @@
 
     unlist(p);
     if (n > 0) {
-        list_last(p, level_of(e, p));
+        list_append(p, level_of(e, p));
     }
     if (place_is_own(p)) {
         p->pool->own_free_slots += n - p->counted_free;
@@ -202,7 +204,7 @@
     int64_t us = BLOCK_US << p->refusals;
 
     p->blocked_until_us = e->now.mono_us + entry_jitter(e, us);
-    if (p->refusals < REFUSALS_COUNT) {
+    if (p->refusals < BLOCK_DOUBLINGS) {
         p->refusals++;
     }
     place_update(e, p);
@@ -213,7 +215,7 @@
 {
     if (pool->n_places == pool->capacity) {
         pool->capacity =
-            pool->capacity == 0 ? POOL_START_ROOM : 2 * pool->capacity;
+            pool->capacity == 0 ? POOL_MIN_CAPACITY : 2 * pool->capacity;
         pool->all_places =
             realloc(pool->all_places, pool->capacity * sizeof(struct place *));
         if (pool->all_places == NULL) {
@@ -247,8 +249,8 @@
 /* Picking */
 
 static bool
-acceptable(const struct entry *e, const struct place *p,
-           const struct pick *pick)
+is_acceptable(const struct entry *e, const struct place *p,
+              const struct pick *pick)
 {
     if (place_task_capacity(e, p, pick->need) == 0) {
         return false;
@@ -266,18 +268,18 @@
 {
     struct place *fits = NULL;
     struct place *p = first;
-    int looked = 0;
+    int examined = 0;
 
     do {
-        if (acceptable(e, p, pick)) {
+        if (is_acceptable(e, p, pick)) {
             if ((p->rack_bit & pick->rack_bits) == 0) {
                 return p;
             }
             fits = fits != NULL ? fits : p;
         }
-        looked++;
+        examined++;
         p = p->next;
-    } while (p != first && (looked < LOOK_AT || fits == NULL));
+    } while (p != first && (examined < EXAMINED_MAX || fits == NULL));
     return fits;
 }
 
@@ -299,21 +301,21 @@
 }
 
 static struct place *
-any_of(struct entry *e, struct pool *pool)
+random_place(struct entry *e, struct pool *pool)
 {
     return pool->all_places[entry_random(e) % pool->n_places];
 }
 
 /** pick_in_turn() - the first that fits, from a random one on */
 static struct place *
-pick_in_turn(struct entry *e, struct pool *pool, const struct pick *pick)
+pick_first_fit(struct entry *e, struct pool *pool, const struct pick *pick)
 {
     size_t from = entry_random(e) % pool->n_places;
 
     for (size_t i = 0; i < pool->n_places; i++) {
         struct place *p = pool->all_places[(from + i) % pool->n_places];
 
-        if (acceptable(e, p, pick)) {
+        if (is_acceptable(e, p, pick)) {
             return p;
         }
     }
@@ -323,28 +325,28 @@
 static struct place *
 pick_two_choices(struct entry *e, struct pool *pool, const struct pick *pick)
 {
-    struct place *a = any_of(e, pool);
-    struct place *b = any_of(e, pool);
-    struct place *better =
+    struct place *a = random_place(e, pool);
+    struct place *b = random_place(e, pool);
+    struct place *freer =
         place_free_slots(e, a) >= place_free_slots(e, b) ? a : b;
 
-    if (acceptable(e, better, pick)) {
-        return better;
+    if (is_acceptable(e, freer, pick)) {
+        return freer;
     }
-    return pick_in_turn(e, pool, pick);
+    return pick_first_fit(e, pool, pick);
 }
 
 static struct place *
 pick_random(struct entry *e, struct pool *pool, const struct pick *pick)
 {
     for (int i = 0; i < RANDOM_TRIES; i++) {
-        struct place *p = any_of(e, pool);
+        struct place *p = random_place(e, pool);
 
-        if (acceptable(e, p, pick)) {
+        if (is_acceptable(e, p, pick)) {
             return p;
         }
     }
-    return pick_in_turn(e, pool, pick);
+    return pick_first_fit(e, pool, pick);
 }
 
 static struct place *(*const pickers[])(struct entry *e, struct pool *pool,
--- a/src/queue.c
+++ b/src/queue.c
@@ -4,9 +4,9 @@
 #include <string.h>
 
 enum {
-    QUEUE_START_ROOM = 32,
-    HANDICAP_TIMES = 4,      /* weight of work against waiting */
-    HANDICAP_LIMIT_PART = 2, /* of the time limit, at most */
+    QUEUE_MIN_CAPACITY = 32,
+    HANDICAP_FACTOR = 4,        /* weight of work against waiting */
+    HANDICAP_LIMIT_DIVISOR = 2, /* of the time limit, at most */
 };
 
 /* With least work first alone, a steady stream of small jobs would keep a
@@ -15,17 +15,17 @@
 int64_t
 queue_rank_us(enum queue_order order, const struct queued *q, int64_t work_us)
 {
-    int64_t handicap = HANDICAP_TIMES * work_us;
-    int64_t most = q->time_limit_us / HANDICAP_LIMIT_PART;
+    int64_t handicap = HANDICAP_FACTOR * work_us;
+    int64_t longest = q->time_limit_us / HANDICAP_LIMIT_DIVISOR;
 
     if (order == ORDER_ARRIVAL) {
         return q->submitted_us;
     }
-    return q->submitted_us + (handicap < most ? handicap : most);
+    return q->submitted_us + (handicap < longest ? handicap : longest);
 }
 
 static bool
-before(const struct queued *a, const struct queued *b)
+ranks_before(const struct queued *a, const struct queued *b)
 {
     if (a->rank_us != b->rank_us) {
         return a->rank_us < b->rank_us;
@@ -34,7 +34,7 @@
 }
 
 static void
-set_at(struct queue *qu, size_t i, struct queued *q)
+heap_set(struct queue *qu, size_t i, struct queued *q)
 {
     qu->heap[i] = q;
     q->heap_pos = i + 1;
@@ -48,13 +48,13 @@
     while (i > 0) {
         size_t parent = (i - 1) / 2;
 
-        if (!before(q, qu->heap[parent])) {
+        if (!ranks_before(q, qu->heap[parent])) {
             break;
         }
-        set_at(qu, i, qu->heap[parent]);
+        heap_set(qu, i, qu->heap[parent]);
         i = parent;
     }
-    set_at(qu, i, q);
+    heap_set(qu, i, q);
 }
 
 static void
@@ -69,25 +69,25 @@
             break;
         }
         if (child + 1 < qu->n &&
-            before(qu->heap[child + 1], qu->heap[child])) {
+            ranks_before(qu->heap[child + 1], qu->heap[child])) {
             child++;
         }
-        if (!before(qu->heap[child], q)) {
+        if (!ranks_before(qu->heap[child], q)) {
             break;
         }
-        set_at(qu, i, qu->heap[child]);
+        heap_set(qu, i, qu->heap[child]);
         i = child;
     }
-    set_at(qu, i, q);
+    heap_set(qu, i, q);
 }
 
 static void
-grow(struct queue *qu)
+heap_grow(struct queue *qu)
 {
     if (qu->n < qu->capacity) {
         return;
     }
-    qu->capacity = qu->capacity == 0 ? QUEUE_START_ROOM : 2 * qu->capacity;
+    qu->capacity = qu->capacity == 0 ? QUEUE_MIN_CAPACITY : 2 * qu->capacity;
     qu->heap = realloc(qu->heap, qu->capacity * sizeof(struct queued *));
     if (qu->heap == NULL) {
         abort();
@@ -100,11 +100,11 @@
     size_t i;
 
     if (q->heap_pos == 0) {
-        grow(qu);
+        heap_grow(qu);
         if (q->sequence == 0) {
             q->sequence = ++qu->last_sequence;
         }
-        set_at(qu, qu->n++, q);
+        heap_set(qu, qu->n++, q);
     }
     i = q->heap_pos - 1;
     sift_up(qu, i);
@@ -126,7 +126,7 @@
     if (last == q) {
         return;
     }
-    set_at(qu, i, last);
+    heap_set(qu, i, last);
     sift_up(qu, i);
     sift_down(qu, last->heap_pos - 1);
 }
--- a/src/vote.c
+++ b/src/vote.c
@@ -37,7 +37,7 @@
     return -1;
 }
 
-struct voting *
+struct zone_voter *
 vote_zone_voter(const struct entry *e, struct name zone)
 {
     int i = vote_zone_index(e, zone);
@@ -48,7 +48,7 @@
 }
 
 void
-vote_init(const struct entry *e, struct voting *v, struct name zone)
+vote_init(const struct entry *e, struct zone_voter *v, struct name zone)
 {
     struct name voters[VOTERS_PER_ZONE];
     size_t n = members_voters(e, zone, voters);
@@ -67,7 +67,7 @@
 bool
 claims_voter_ready(const struct entry *e, struct name zone)
 {
-    const struct voting *v = vote_zone_voter(e, zone);
+    const struct zone_voter *v = vote_zone_voter(e, zone);
 
     return v != NULL && v->ready;
 }
@@ -119,11 +119,11 @@
  * refuse keys issued further than the skew in the future, so an earlier
  * incarnation cannot have granted a key issued two skews after this start. */
 static bool
-may_vote(const struct entry *e, const struct voting *v, int64_t issued_us)
+may_vote(const struct entry *e, const struct zone_voter *v, int64_t issued_us)
 {
-    int64_t born = e->claims->start.wall_us + 2 * e->opts.clock_skew_us;
+    int64_t after_us = e->claims->start.wall_us + 2 * e->opts.clock_skew_us;
 
-    return v->ready || (issued_us > 0 && issued_us > born);
+    return v->ready || (issued_us > 0 && issued_us > after_us);
 }
 
 static bool
@@ -140,8 +140,8 @@
 }
 
 static void
-reply_taken(const struct entry *e, const struct claim *r,
-            struct rec_claim_reply *reply)
+fill_taken(const struct entry *e, const struct claim *r,
+           struct rec_claim_reply *reply)
 {
     reply->verdict = CLAIM_TAKEN;
     reply->claimer = members_by_index(e, r->claimer_index)->name;
@@ -188,8 +188,9 @@
  * ready is no vote: what another voter granted was not granted here, and
  * counted twice it would make a majority of one. */
 static void
-vote_again(struct entry *e, const struct voting *v, const struct rec_claim *m,
-           uint16_t claimer, struct claim *r, struct rec_claim_reply *reply)
+vote_on_record(struct entry *e, const struct zone_voter *v,
+               const struct rec_claim *m, uint16_t claimer, struct claim *r,
+               struct rec_claim_reply *reply)
 {
     if (r->bare) {
         r->expires_us = vote_record_expiry_us(e, 0);
@@ -199,7 +200,7 @@
         return;
     }
     if (r->claimer_index != claimer || r->incarnation != m->incarnation) {
-        reply_taken(e, r, reply);
+        fill_taken(e, r, reply);
         return;
     }
     if (m->attempt > r->attempt) {
@@ -211,7 +212,7 @@
 }
 
 static void
-vote(struct entry *e, const struct voting *v, const struct rec_claim *m,
+vote(struct entry *e, const struct zone_voter *v, const struct rec_claim *m,
      uint16_t claimer, struct rec_claim_reply *reply)
 {
     int64_t issued = (int64_t)m->issued_us;
@@ -221,7 +222,7 @@
         reply->verdict = CLAIM_TOO_OLD;
     }
     else if (r != NULL) {
-        vote_again(e, v, m, claimer, r, reply);
+        vote_on_record(e, v, m, claimer, r, reply);
     }
     else if (in_future(e, issued) || !may_vote(e, v, issued)) {
         reply->verdict = CLAIM_NOT_VOTING;
@@ -233,13 +234,13 @@
 }
 
 static void
-look_up(struct entry *e, const struct voting *v, struct key_id key,
-        struct rec_claim_reply *reply)
+fill_lookup(struct entry *e, const struct zone_voter *v, struct key_id key,
+            struct rec_claim_reply *reply)
 {
     struct claim *r = vote_find_record(e, key);
 
     if (r != NULL && !r->contested) {
-        reply_taken(e, r, reply);
+        fill_taken(e, r, reply);
     }
     else {
         reply->verdict = r == NULL && v->ready ? CLAIM_NONE : CLAIM_NOT_VOTING;
@@ -249,8 +250,8 @@
 /* Every reply tells which incarnations of the fellow voters were met: see
  * grant_stale(). */
 static void
-reply_views(const struct entry *e, const struct voting *v,
-            struct rec_claim_reply *reply)
+add_views(const struct entry *e, const struct zone_voter *v,
+          struct rec_claim_reply *reply)
 {
     reply->voter_incarnation = e->opts.incarnation;
     reply->views = calloc(PEER_VOTERS_MAX, sizeof(*reply->views));
@@ -269,7 +270,7 @@
 vote_claim(struct entry *e, struct name from, const struct rec_claim *m,
            struct rec_claim_reply *reply)
 {
-    const struct voting *v = vote_zone_voter(e, m->zone);
+    const struct zone_voter *v = vote_zone_voter(e, m->zone);
     struct member *claimer = members_by_name(e, from);
 
     if (v == NULL || claimer == NULL || m->purpose > CLAIM_CANCEL ||
@@ -281,7 +282,7 @@
     reply->zone = m->zone;
     reply->attempt = m->attempt;
     vote(e, v, m, members_index(e, claimer), reply);
-    reply_views(e, v, reply);
+    add_views(e, v, reply);
     return true;
 }
 
@@ -289,7 +290,7 @@
 vote_find(struct entry *e, const struct rec_claim_find *m,
           struct rec_claim_reply *reply)
 {
-    const struct voting *v = vote_zone_voter(e, m->zone);
+    const struct zone_voter *v = vote_zone_voter(e, m->zone);
 
     if (v == NULL) {
         return false;
@@ -298,8 +299,8 @@
     reply->key = m->key;
     reply->zone = m->zone;
     reply->attempt = m->attempt;
-    look_up(e, v, m->key, reply);
-    reply_views(e, v, reply);
+    fill_lookup(e, v, m->key, reply);
+    add_views(e, v, reply);
     return true;
 }
 
--- a/src/vote.h
+++ b/src/vote.h
@@ -7,7 +7,7 @@
 #include "claim_state.h"
 
 /** vote_init() - this instance's part in voting for @zone */
-void vote_init(const struct entry *e, struct voting *v, struct name zone);
+void vote_init(const struct entry *e, struct zone_voter *v, struct name zone);
 
 /** vote_set_start_time() - the first event's time stands for the start: what
  * an earlier incarnation granted, it granted before */
@@ -17,7 +17,7 @@
 int vote_zone_index(const struct entry *e, struct name zone);
 
 /** vote_zone_voter() - NULL where this instance is no voter of the zone */
-struct voting *vote_zone_voter(const struct entry *e, struct name zone);
+struct zone_voter *vote_zone_voter(const struct entry *e, struct name zone);
 
 /** vote_find_record() - the live record of a key, or NULL */
 struct claim *vote_find_record(const struct entry *e, struct key_id id);
--- a/src/waiter.c
+++ b/src/waiter.c
@@ -4,8 +4,8 @@
 #include <string.h>
 
 static bool
-waits_already(const struct map *requests, const struct job *job,
-              const struct waiter *w)
+is_waiting(const struct map *requests, const struct job *job,
+           const struct waiter *w)
 {
     if (w->request != REQUEST_NONE) {
         return map_get(requests, &w->request) != NULL;
@@ -24,7 +24,7 @@
 {
     struct waiter *copy;
 
-    if (waits_already(requests, job, w)) {
+    if (is_waiting(requests, job, w)) {
         return;
     }
     copy = malloc(sizeof(*copy));
@@ -67,7 +67,7 @@
 /* A cancel that came before the submission knows no tasks; towards whoever
  * submitted some, each of them is not run. */
 static struct job_answer *
-answer_for(const struct waiter *w, const struct job_answer *answer)
+copy_answer_for(const struct waiter *w, const struct job_answer *answer)
 {
     struct job_answer *copy;
 
@@ -87,7 +87,7 @@
 answer_caller(struct entry *e, const struct waiter *w,
               const struct job_answer *answer)
 {
-    struct job_answer *copy = answer_for(w, answer);
+    struct job_answer *copy = copy_answer_for(w, answer);
     struct ef_answer *f;
 
     if (copy == NULL) {
