--- a/src/claim_sync.c
+++ b/src/claim_sync.c
@@ -170,7 +170,7 @@
             return;
         }
     }
-    mark_ready(e, v, "claims taken over from every other voter");
+    mark_ready(e, v, "claims copied from every other voter");
 }
 
 /* Pages count only within one incarnation of the sender: a later one may have
--- a/src/entry.c
+++ b/src/entry.c
@@ -313,7 +313,7 @@
     default:
         e->counters.messages_bad++;
         entry_log(e, LOG_WARNING, REASON_BAD_MESSAGE, NULL, -1, from,
-                  "kind %d has no business here", (int)m->kind);
+                  "unexpected message kind %d", (int)m->kind);
         break;
     }
 }
--- a/src/entry_settings.c
+++ b/src/entry_settings.c
@@ -15,86 +15,87 @@
 /* clang-format off */
 #define LIMIT_LIST(LIMIT)                                                     \
     LIMIT("claim_window_s", "s", 10, 86400, "600",                            \
-        entry.claim_window_us, USEC_PER_SEC, "how long keys are remembered")  \
+        entry.claim_window_us, USEC_PER_SEC, "how long claims of keys are kept")  \
     LIMIT("clock_skew_ms", "ms", 0, 60000, "5000",                            \
-        entry.clock_skew_us, USEC_PER_MSEC, "bound between wall clocks")      \
+        entry.clock_skew_us, USEC_PER_MSEC, "maximum difference between wall clocks")      \
     LIMIT("claim_timeout_ms", "ms", 1, 10000, "50",                           \
-        entry.claim_timeout_us, USEC_PER_MSEC, "one round of votes")          \
+        entry.claim_timeout_us, USEC_PER_MSEC, "time limit of one round of votes")          \
     LIMIT("heartbeat_ms", "ms", 20, 10000, "500",                             \
-        entry.heartbeat_us, USEC_PER_MSEC, "between heartbeats")              \
+        entry.heartbeat_us, USEC_PER_MSEC, "interval of heartbeats")              \
     LIMIT("member_timeout_ms", "ms", 50, 60000, "2000",                       \
         entry.member_timeout_us, USEC_PER_MSEC,                               \
         "silence after which an instance is down")                            \
     LIMIT("renew_ms", "ms", 50, 60000, "2000",                                \
-        entry.renew_us, USEC_PER_MSEC, "between announcements of upstreams")  \
+        entry.renew_us, USEC_PER_MSEC, "interval of upstream announcements")  \
     LIMIT("upstream_ttl_ms", "ms", 100, 300000, "6000",                       \
         entry.upstream_ttl_us, USEC_PER_MSEC,                                 \
-        "silence after which an upstream is gone")                            \
+        "silence after which an upstream is removed")                            \
     LIMIT("grant_ms", "ms", 50, 60000, "2000",                                \
         entry.grant_us, USEC_PER_MSEC, "lease of lent slots")                 \
     LIMIT("answer_keep_s", "s", 1, 86400, "120",                              \
         entry.answer_keep_us, USEC_PER_SEC, "how long answers are kept")      \
     LIMIT("answer_keep_mb", "MiB", 1, 65536, "64",                            \
-        entry.answer_keep_bytes, 1 << 20, "how much of answers is kept")      \
+        entry.answer_keep_bytes, 1 << 20, "memory limit of kept answers")      \
     LIMIT("queue_max", "tasks", 1, 10000000, "20000",                         \
-        entry.queue_max, 1, "tasks that may wait here")                       \
+        entry.queue_max, 1, "limit of queued tasks")                       \
     LIMIT("retry_percent", "%", 0, 100, "20",                                 \
-        entry.retry_percent, 1, "re-placements a hundred starts may cause")   \
+        entry.retry_percent, 1, "retries allowed per 100 starts")   \
     LIMIT("quarantine_after", "failures", 1, 1000, "5",                       \
-        entry.quarantine_after, 1, "failures in a row of an upstream")        \
+        entry.quarantine_after, 1, "consecutive failures of an upstream")        \
     LIMIT("quarantine_percent", "%", 0, 100, "34",                            \
         entry.quarantine_percent, 1,                                          \
-        "most upstreams of a service in quarantine")                          \
+        "limit of a service's quarantined upstreams")                          \
     LIMIT("http_threads", "threads", 1, 64, "4",                              \
-        http.threads, 1, "of the HTTP server")                                \
+        http.threads, 1, "threads of the HTTP server")                                \
     LIMIT("http_connections", "connections", 16, 1000000, "16384",            \
-        http.connections, 1, "of callers, at a time")                         \
+        http.connections, 1, "limit of connections of callers")                         \
     LIMIT("body_max_kb", "KiB", 1, 65536, "4096",                             \
-        http.body_max, 1024, "a request's body")                              \
+        http.body_max, 1024, "maximum size of a request body")                              \
     LIMIT("body_timeout_ms", "ms", 10, HOUR_MS, "5000",                       \
-        http.body_timeout_ms, 1, "from headers to the end of the body")       \
+        http.body_timeout_ms, 1, "time limit for receiving a request body")       \
     LIMIT("idle_timeout_s", "s", 1, 3600, "75",                               \
-        http.idle_timeout_s, 1, "a connection without a request")             \
+        http.idle_timeout_s, 1, "idle time until a connection is closed")             \
     LIMIT("upstream_threads", "threads", 1, UPCLIENT_THREADS_MAX, "4",        \
-        upstreams.threads, 1, "that talk to upstreams")                       \
+        upstreams.threads, 1, "threads of the client for upstreams")                       \
     LIMIT("upstream_connections", "connections", 1, 65536, "64",              \
-        upstreams.connections_per_upstream, 1, "to one upstream")             \
+        upstreams.connections_per_upstream, 1, "limit of connections to one upstream")             \
     LIMIT("connect_timeout_ms", "ms", 1, 60000, "1000",                       \
-        upstreams.connect_timeout_ms, 1, "to connect to an upstream")         \
+        upstreams.connect_timeout_ms, 1, "time limit for connecting to an upstream")         \
     LIMIT("control_timeout_ms", "ms", 10, 60000, "1000",                      \
-        upstreams.control_timeout_ms, 1, "for a question to an upstream")     \
+        upstreams.control_timeout_ms, 1, "time limit for control requests to an upstream")     \
     LIMIT("upstream_idle_s", "s", 1, 3600, "15",                              \
-        upstreams.idle_s, 1, "a kept connection is not used after that")      \
+        upstreams.idle_s, 1, "idle time until a connection is not reused")      \
     LIMIT("result_max_kb", "KiB", 1, 65536, "1024",                           \
-        upstreams.result_max, 1024, "a task's result")                        \
+        upstreams.result_max, 1024, "maximum size of a task's result")                        \
     LIMIT("peer_buffer_mb", "MiB", 1, 1024, "32",                             \
-        peers.send_max, 1 << 20, "that may wait for an instance")
+        peers.send_max, 1 << 20, "limit of unsent messages to one instance")
 /* clang-format on */
 
 static const struct setting table[] = {
     {"instance", "name", SETTING_NAME, true, NULL, 0, 0, NULL, NULL,
-     "of this instance; it has a [peer NAME] too"},
+     "name of this instance; section [peer NAME] must exist"},
     {"instance", "zone", SETTING_NAME, true, NULL, 0, 0, NULL, NULL,
      "availability zone of this instance"},
     {"instance", "listen_http", SETTING_ADDRESS, true, NULL, 0, 0, NULL, NULL,
-     "where callers, upstreams and operators connect"},
+     "listening address for callers, upstreams and operators"},
     {"instance", "listen_peer", SETTING_ADDRESS, true, NULL, 0, 0, NULL, NULL,
-     "where other instances connect"},
+     "listening address for other instances"},
     {"instance", "services", SETTING_TEXT, false, NULL, 1, 180, NULL, NULL,
-     "folder of service files, until control has a configuration"},
+     "directory of service files, until control has a configuration"},
     {"instance", "log_level", SETTING_CHOICE, false, NULL, 0, 0, "info",
      "emerg|alert|crit|err|warning|notice|info|debug",
-     "least severe lines that are logged"},
+     "lowest severity that is logged"},
     {"instance", "prefer", SETTING_CHOICE, false, NULL, 0, 0, "response-time",
-     "response-time|fewer-messages", "which measure weighs more"},
+     "response-time|fewer-messages", "which of the two to optimize"},
     {"instance", "stop_grace_ms", SETTING_INT, false, "ms", 0, HOUR_MS, "500",
-     NULL, "health says 503 for that long before new connections are refused"},
+     NULL,
+     "time from the first 503 of the health check to closing the listener"},
     {"peer *", "zone", SETTING_NAME, true, NULL, 0, 0, NULL, NULL,
      "availability zone of the instance"},
     {"peer *", "address", SETTING_ADDRESS, true, NULL, 0, 0, NULL, NULL,
-     "its listen_peer"},
+     "listen_peer of the instance"},
     {"control *", "address", SETTING_ADDRESS, true, NULL, 0, 0, NULL, NULL,
-     "where the bm-control of that name listens for other processes"},
+     "address where this bm-control listens for other processes"},
 #define LIMIT(key, unit, min, max, fallback, member, factor, help)            \
     {"limits", key, SETTING_INT, false, unit, min, max, fallback, NULL, help},
     LIMIT_LIST(LIMIT)
