--- a/src/admit.c
+++ b/src/admit.c
@@ -7,8 +7,8 @@
 #include "quota.h"
 #include "upstream.h"
 
-#define CAPACITY_US (20 * USEC_PER_MSEC) /* an estimate is used this long */
-enum { QUEUED_DIVISOR = 4 }; /* of a time limit, for all that is queued */
+#define CAPACITY_US (20 * USEC_PER_MSEC) /* lifetime of a cached capacity */
+enum { QUEUED_DIVISOR = 4 }; /* of a time limit, for all queued work */
 
 #define RETRY_MIN_US (200 * USEC_PER_MSEC)
 #define RETRY_MAX_US (30 * USEC_PER_SEC)
@@ -27,10 +27,10 @@
 
 /* Capacity */
 
-/** struct zone_slots - of a service, as far as this instance knows */
+/** struct zone_slots - usable slots of a service in this zone */
 struct zone_slots {
     uint32_t total;
-    uint32_t held; /* by this instance */
+    uint32_t held; /* by this instance, and not lent */
 };
 
 static struct zone_slots
@@ -109,7 +109,7 @@
     return s->capacity;
 }
 
-/* Fit */
+/* Resource needs */
 
 static bool
 upstream_fits(const struct upstream *u, struct resources need)
@@ -119,7 +119,8 @@
            need.accelerators <= u->info.accelerators;
 }
 
-/** enum fit - of a task */
+/** enum fit - whether some upstream of the zone can ever run a task;
+ * FIT_UNKNOWN if the service has no upstreams there */
 enum fit { FIT_SOME, FIT_NONE, FIT_UNKNOWN };
 
 void
@@ -152,8 +153,10 @@
            need.accelerators <= l->accelerators;
 }
 
-/** others_may() - upstreams of other zones are not known here one by one, but
- * heartbeats tell the largest sizes */
+/** other_zone_fits() - whether some upstream of another zone can run a task
+ *
+ * Single upstreams of other zones are not known here, but heartbeats carry the
+ * largest resources of each zone's upstreams. */
 static bool
 other_zone_fits(const struct entry *e, const struct service_state *s,
                 struct resources need)
@@ -208,8 +211,8 @@
                               .retry_after_us = retry_after_us};
 }
 
-/** retry_after() - when that much should be done, spread so that those who
- * were refused together do not come back together */
+/** retry_after() - time until @excess_us of work should be done, with jitter
+ * so that callers refused at the same time do not retry at the same time */
 static int64_t
 retry_after(struct entry *e, int64_t excess_us)
 {
@@ -267,18 +270,18 @@
     return t != NULL && t->weight > 0 ? t->weight : 1;
 }
 
-/** struct crowd - who shares the instance's queue */
+/** struct queue_shares - how the instance's queue is shared by teams */
 struct queue_shares {
-    uint64_t
-        total_weight; /* of teams with queued tasks, and room for one more */
-    uint32_t queued_by_team; /* tasks queued by the asker's team */
+    uint64_t total_weight;   /* of active teams, and one reserved share */
+    uint32_t queued_by_team; /* tasks queued by the submitting team */
 };
 
 static struct queue_shares
 compute_shares(const struct entry *e, struct name team)
 {
     const struct dispatch *d = e->dispatch;
-    /* The team itself and one that may come yet. */
+    /* The share of @team itself, and one reserved for a team that has nothing
+     * queued yet. */
     struct queue_shares shares = {.total_weight =
                                       2 * (uint64_t)team_weight(e, team)};
 
@@ -298,10 +301,10 @@
     return shares;
 }
 
-/* A team that submits without end would fill the queue of the instance, and
- * every other team's jobs would be refused though their upstreams are idle.
- * So past half of the bound each team has its share by weight, one share
- * being kept for a team that has nothing queued yet. */
+/* A single team could fill the queue of the instance, and the jobs of all
+ * other teams would be refused although their upstreams are idle.  Once the
+ * queue is half full, each team is therefore limited to its share by weight,
+ * and one share is reserved for a team that has nothing queued yet. */
 static bool
 queue_full(const struct entry *e, const struct service_state *s,
            const struct job *job)
@@ -324,15 +327,17 @@
            (uint64_t)e->opts.queue_max * team_weight(e, job->team);
 }
 
-/** struct estimate - of a job's way through the queue, microseconds */
+/** struct time_estimate - expected times of a job, in microseconds; work is
+ * divided by the capacity of the queue */
 struct time_estimate {
-    int64_t own;     /* its own work over the capacity */
-    int64_t ahead;   /* what goes before it, over the capacity */
-    int64_t queued;  /* all that is queued, over the capacity */
-    int64_t longest; /* its longest task, as expected */
-    int64_t tail;    /* the same, when it runs late */
+    int64_t own;     /* work of the job itself */
+    int64_t ahead;   /* work that goes before the job */
+    int64_t queued;  /* all queued and running work */
+    int64_t longest; /* expected run time of the job's longest task */
+    int64_t tail;    /* upper estimate of the same */
 };
 
+/** queued_work_us() - queued work of all classes up to @class */
 static int64_t
 queued_work_us(const struct service_state *s, uint8_t class)
 {
@@ -346,8 +351,8 @@
     return estimate_sum_us(&s->run_estimate, n, declared_us);
 }
 
-/** running_us() - half of what runs is still to come, on average; it stands
- * in the way only where all slots are taken */
+/** running_work_us() - remaining work of running tasks: on average half of
+ * their run time; 0 while slots are free, since it delays no queued task */
 static int64_t
 running_work_us(const struct service_state *s, uint32_t capacity)
 {
@@ -384,12 +389,14 @@
     return est;
 }
 
-/** late_us() - by how much a job would be late, or make others late.  What
- * goes before it must leave it time enough.  And all that is queued must fit
- * into half of a time limit: for the other half jobs that come later may go
- * first (queue.h), and without this bound a stream of small ones would make
- * the large ones, admitted in good faith, fail at their deadlines with half
- * their tasks run. */
+/** late_us() - by how much the job would miss its deadline, or would make
+ * queued jobs miss theirs
+ *
+ * The work that goes before the job must leave it enough time.  In addition,
+ * all queued work must fit into a fraction (QUEUED_DIVISOR) of the time limit:
+ * jobs submitted later may overtake for half of it (queue.h), and without this
+ * bound a stream of small jobs would make admitted large jobs fail at their
+ * deadlines with half of their tasks run. */
 static int64_t
 late_us(const struct service_state *s, const struct time_estimate *est,
         int64_t left)
--- a/src/assign.c
+++ b/src/assign.c
@@ -2,7 +2,8 @@
 
 #include <stdlib.h>
 
-/* A holder keeps that share more than its even part before any of it moves. */
+/* A holder may keep 1/8 more than its even share, which avoids moves for small
+ * imbalances. */
 enum { SLACK_DIVISOR = 8 };
 
 static int
@@ -14,7 +15,8 @@
     return a < b ? -1 : a > b;
 }
 
-/* Counts what each keeps; what is beyond @most becomes nobody's. */
+/* Counts the items that each holder keeps, at most @max; the holders of
+ * further items are cleared. */
 static void
 keep_held(struct assign_item *items, size_t n_items, size_t *counts,
           size_t max)
--- a/src/assign.h
+++ b/src/assign.h
@@ -1,10 +1,10 @@
 /**
- * DOC: assign - which holder each upstream of a zone should have
+ * DOC: assign - assigns the upstreams of a zone to holders
  *
- * A pure function of who holds what now, so that brokers with the same view
- * come to the same result.  An upstream stays where it is while its holder is
- * one of those that should hold any: each move leaves it idle until what runs
- * there has ended.
+ * A pure function of the current holders, so that brokers with the same view
+ * compute the same assignment.  An upstream keeps its holder if possible,
+ * because an upstream that changes holders stays idle until the tasks running
+ * there have ended.
  */
 #ifndef BM_ASSIGN_H
 #define BM_ASSIGN_H
@@ -12,14 +12,15 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* Not held, or by one that should hold nothing. */
+/* Not held, or held by a broker that is not to hold upstreams. */
 #define ASSIGN_NONE SIZE_MAX
 
 /**
  * struct assign_item - an upstream
- * @order_key: orders upstreams alike at all brokers
- * @holder: index of who holds it now, or ASSIGN_NONE; then who should
- * @context: the caller's
+ * @order_key: sort key that is the same at all brokers
+ * @holder: in: index of the current holder or ASSIGN_NONE; out: index of the
+ *          assigned holder
+ * @context: pointer for use by the caller
  */
 struct assign_item {
     uint64_t order_key;
@@ -27,8 +28,8 @@
     void *context;
 };
 
-/** assign_holders() - sets @holder of each item to one of @n_holders, at least
- * one; sorts @items by @spread */
+/** assign_holders() - sets @holder of each item to an index below @n_holders,
+ * which must be at least 1; sorts @items by @spread */
 void assign_holders(struct assign_item *items, size_t n_items,
                     size_t n_holders);
 
--- a/src/claim.c
+++ b/src/claim.c
@@ -11,18 +11,18 @@
 #include "vote.h"
 
 enum {
-    ROUNDS_MAX = 6,        /* of asking before an attempt is given up */
-    ATTEMPT_TIMEOUTS = 20, /* an attempt's longest life, in claim timeouts */
+    ROUNDS_MAX = 6,        /* of votes before an attempt fails */
+    ATTEMPT_TIMEOUTS = 20, /* an attempt lasts at most so many timeouts */
 };
 
-/* One voter's part in an attempt. */
+/* The request to one voter in an attempt, and the reply. */
 struct voter_request {
     struct name voter;
     bool sent;
     bool replied;
     enum claim_verdict verdict;
     uint64_t voter_incarnation;
-    uint64_t newest; /* incarnation of the voter that anyone has met */
+    uint64_t newest; /* incarnation of the voter named in any reply */
     uint16_t claimer;
     uint64_t incarnation;
     uint64_t digest;
@@ -30,19 +30,19 @@
 };
 
 struct attempt {
-    uint64_t number; /* first: looked up by it */
+    uint64_t number; /* map key; must be first */
     struct handle self;
     struct handle job;
     struct key_ref key;
     uint64_t digest;
     enum claim_purpose purpose;
-    bool find;
-    bool backing_off; /* a split vote: waits before it asks again */
-    int rounds;
+    bool find;        /* look up only, do not claim */
+    bool backing_off; /* backing off after a split vote */
+    int rounds;       /* split votes so far */
     int64_t started_us;
     int64_t due_us;
     struct voter_request
-        requests[VOTERS_PER_ZONE]; /* in the order of asking */
+        requests[VOTERS_PER_ZONE]; /* in the order of requests */
     size_t n_requests;
 };
 
@@ -87,8 +87,9 @@
     timers_add(&e->claims->timers, a->due_us, a->self);
 }
 
-/* Asking order: ourselves, then voters that are up, near ones first; among
- * equals the key decides, so that the load spreads. */
+/* Order of requests: this instance first, then voters of the same zone, voters
+ * of other zones, and voters that are down.  Voters of equal rank are rotated
+ * by key, which spreads the load. */
 static int
 request_rank(const struct entry *e, struct name voter)
 {
@@ -170,8 +171,8 @@
     entry_send(e, to, &m);
 }
 
-/* To all voters, also those not asked: one that restarted may have copied the
- * record from one that was. */
+/* Sends the release to all voters, including those that got no request: a
+ * restarted voter may have copied the record from one that did. */
 static void
 release_at_all_voters(struct entry *e, const struct key_ref *key,
                       uint64_t attempt)
@@ -184,7 +185,8 @@
     }
 }
 
-/* An attempt that no voter can have recorded costs no release. */
+/* Whether some voter may have recorded the attempt, so that it must be
+ * released. */
 static bool
 may_be_recorded(const struct attempt *a)
 {
@@ -231,7 +233,7 @@
     return NULL;
 }
 
-/* Notes one voter's reply; false where it makes no sense. */
+/* Stores a voter's reply; false if the reply is invalid. */
 static bool
 attempt_store_reply(struct entry *e, struct attempt *a, struct name from,
                     const struct rec_claim_reply *r)
@@ -255,7 +257,7 @@
     }
     update_newest(a, from, r->voter_incarnation);
     if (r->voter_incarnation < vr->voter_incarnation) {
-        return true; /* overtaken by a reply of a later incarnation */
+        return true; /* a later incarnation has replied already */
     }
     vr->sent = true;
     vr->replied = true;
@@ -315,12 +317,15 @@
     entry_send(e, vr->voter, &m);
 }
 
-/* What can go wrong: a voter grants a key to one claimer, restarts empty,
- * takes over the live claims of the others before the second grant is there,
- * and grants the key again to another claimer: each then has its majority
- * and the tasks start twice.  The voter that gave the second grant had
- * answered the restarted one's request before, so its reply names the newer
- * incarnation.  The grant of the older one then does not count. */
+/* Whether a grant must not be counted because the voter has restarted since.
+ *
+ * Voter 1 of three grants a key to claimer A, restarts without records, copies
+ * the live claims of the other voters before one of these has granted the key
+ * to A, and then grants the key to claimer B.  If A's grant from voter 1 were
+ * still counted, A and B would both reach a majority and the tasks would start
+ * twice.  The voter that gives A the second grant has answered the sync
+ * request of the restarted voter 1 before, so its reply names the newer
+ * incarnation, and the grant of the older one is discarded. */
 static bool
 grant_stale(const struct entry *e, const struct voter_request *vr)
 {
@@ -334,7 +339,7 @@
     size_t pending;
     size_t unsent;
     bool too_old;
-    const struct voter_request *other; /* claimer that most voters name */
+    const struct voter_request *other; /* the other claimer with most votes */
     size_t other_votes;
 };
 
@@ -355,7 +360,8 @@
     return n;
 }
 
-/* Numbers of members rise with their names. */
+/* Between claimers with equal votes the lower index is taken.  Members are
+ * indexed in the order of their names on every instance. */
 static void
 tally_taken(const struct attempt *a, const struct voter_request *vr,
             struct tally *t)
@@ -454,10 +460,10 @@
     end_attempt(e, a, CLAIM_OUTCOME_UNAVAILABLE);
 }
 
-/* Nobody has a majority among the voters that replied.  Of two claimers the
- * one with the higher name gives its votes back and waits at the other; the
- * one with the lower name asks again a little later.  Names order them the
- * same way for both, so they do not both yield, nor both insist. */
+/* Split vote: no claimer has a majority among the voters that replied.  Of two
+ * claimers the one with the higher name releases its votes and waits for the
+ * other's answer; the one with the lower name repeats its requests after a
+ * short time.  Both compare the same names, so exactly one of them yields. */
 static void
 resolve_split_vote(struct entry *e, struct attempt *a, const struct tally *t)
 {
@@ -515,8 +521,8 @@
     return true;
 }
 
-/* An attempt ends where its job did not wait for it, or where it took so long
- * (its process slept, say) that the first grants may have run out. */
+/* Whether an attempt must end: its job is gone, or the attempt took so long,
+ * such as after a pause of the process, that early grants may have expired. */
 static bool
 attempt_expired(const struct entry *e, const struct attempt *a)
 {
@@ -590,8 +596,8 @@
     attempt_begin(e, a);
 }
 
-/* Numbers of attempts only rise, so the newest covers every earlier attempt
- * at this key, and a later one will stand above it. */
+/* Attempt numbers only increase, so the latest number covers all earlier
+ * attempts at this key, and later attempts have higher numbers. */
 void
 claims_release(struct entry *e, const struct key_ref *key)
 {
@@ -611,9 +617,9 @@
     }
 }
 
-/* After a rest all are asked again that did not grant; after a claim timeout
- * one voter more is asked, and when there is none, whoever is silent counts
- * as a voter that will not grant. */
+/* After a back-off, the request is repeated to all voters that did not grant
+ * it.  After a claim timeout, one more voter gets a request; if none is left,
+ * voters that have not replied count as not granting. */
 static void
 attempt_timeout(struct entry *e, struct attempt *a)
 {
@@ -634,8 +640,9 @@
     attempt_step(e, a);
 }
 
-/* A grant for an attempt that is over.  Where the key is ours it belongs to
- * it; else it would block the key for the whole window: it is given back. */
+/* Handles a grant for an attempt that has ended.  If this instance holds the
+ * key, the grant belongs to that claim.  Otherwise the vote is released, since
+ * the record would block the key for the rest of the claim window. */
 static void
 on_late_reply(struct entry *e, struct name from,
               const struct rec_claim_reply *r)
--- a/src/claim_sync.c
+++ b/src/claim_sync.c
@@ -7,7 +7,7 @@
 #include "vote.h"
 
 enum {
-    SYNC_PAGE = 1024,  /* places of the table in one page */
+    SYNC_PAGE = 1024,  /* table entries in one page */
     SYNC_TIMEOUTS = 4, /* between requests, in claim timeouts */
 };
 
@@ -49,10 +49,10 @@
     }
 }
 
-/* A page is a range of places in the table.  Records do not move, so one
- * that is there during the whole transfer is in exactly one page; one that
- * is added to a place already passed was granted after the request, and its
- * reply names the new incarnation. */
+/* A page is a range of indices in the table.  Records do not move, so a record
+ * that exists during the whole transfer is in exactly one page.  A record
+ * added in a range already sent was granted after the first request, and that
+ * grant's reply names the new incarnation of the requesting voter. */
 static void
 fill_page(struct entry *e, int zone, struct rec_sync_reply *reply)
 {
@@ -100,16 +100,16 @@
     return true;
 }
 
-/* Two voters that name different claimers leave open which one had the
- * majority with this voter's forgotten vote.  Keeping either could hide the
- * winner once the other releases the key, so for the rest of the window this
- * voter has no vote on it. */
+/* If two voters report different claimers, this voter's lost vote may have
+ * given either of them the majority.  Keeping one of them could hide the
+ * winner once the other releases the key, so the record is marked contested
+ * and this voter does not vote on the key for the rest of the claim window. */
 static void
 merge_copy(struct claim *r, const struct rec_claim_copy *c, uint16_t claimer,
            bool contested)
 {
     if (!r->copied) {
-        return; /* our own vote stands above what others tell */
+        return; /* this voter's own vote takes precedence */
     }
     if (contested || r->claimer_index != claimer ||
         r->incarnation != c->incarnation) {
@@ -173,8 +173,8 @@
     mark_ready(e, v, "claims copied from every other voter");
 }
 
-/* Pages count only within one incarnation of the sender: a later one may have
- * lost what the pages before told. */
+/* Pages of different incarnations of the sender are not combined: the later
+ * incarnation may lack records that were in the earlier pages. */
 static bool
 is_expected_page(struct peer_voter *f, const struct rec_sync_reply *m)
 {
@@ -228,7 +228,7 @@
     }
 }
 
-/* What was claimed before this start has run out by itself. */
+/* Monotonic time at which all claims made before this start have expired. */
 static int64_t
 old_claims_expired_us(const struct entry *e)
 {
--- a/src/dispatch.c
+++ b/src/dispatch.c
@@ -17,8 +17,8 @@
 enum {
     SERVICES_START = 16,
     ATTEMPTS_MAX = 50, /* starts of one task */
-    SKIPPED_MAX = 8,   /* jobs that do not fit now and are passed over */
-    TOKENS_MAX = 1000, /* re-placements saved up */
+    SKIPPED_MAX = 8,   /* jobs passed over because no place fits them now */
+    TOKENS_MAX = 1000, /* limit of the retry budget */
     TOKENS_START = 100,
 };
 
@@ -113,10 +113,12 @@
            borrow_has_pending(e, s);
 }
 
-/** sweep() - upstreams and other instances name services as they like, and
- * each name leaves a record: without this an instance would grow until it is
- * killed.  Doubling the bound each time keeps the cost of a record constant.
- * Called where nothing but records in use points to a service. */
+/** sweep() - frees records of unused services
+ *
+ * Upstreams and other instances may send any service name, and each new name
+ * creates a record, so memory would grow without bound.  The threshold doubles
+ * with the number of records kept, which makes the cost per record constant.
+ * Must be called when no pointer to an unused service is held. */
 static void
 sweep(struct entry *e)
 {
@@ -186,7 +188,7 @@
     quotas_reload(e);
 }
 
-/* The queue's books */
+/* Queue accounting */
 
 static void
 update_rank(struct entry *e, struct service_state *s, struct queued *q)
@@ -223,7 +225,8 @@
     count_queued(e, job, q, 1, job->tasks[index].run_us);
 }
 
-/** take_task() - takes the job's next task out of the queue */
+/** pop_task() - removes the job's next task from the queue; returns the index
+ * of the task */
 static uint32_t
 pop_task(struct entry *e, struct job *job)
 {
@@ -271,9 +274,12 @@
     }
 }
 
-/** sort_longest_last() - the last goes first: a job ends with its last task,
- * so long ones should not be the ones that wait (insertion sort: usually they
- * are all declared alike) */
+/** sort_by_run_time() - sorts by declared run time; tasks are started from the
+ * end of the array
+ *
+ * The longest task is started first because a job ends with its last task.
+ * Insertion sort, since the tasks of a job usually have the same declared run
+ * time. */
 static void
 sort_by_run_time(const struct job *job, struct queued *q)
 {
@@ -336,9 +342,10 @@
     }
 }
 
-/* When an upstream or a whole zone goes bad, every task placed there comes
- * back, and placing each again and again would be load on top of the trouble.
- * Starts earn a budget that re-placements spend; past it, jobs fail. */
+/* If an upstream or a whole zone fails, every task placed there is queued
+ * again; unlimited retries would add load during the failure.  Each start adds
+ * to a retry budget and each retry consumes from it; once the budget is spent,
+ * jobs fail. */
 void
 dispatch_requeue(struct entry *e, struct job *job, uint32_t index,
                  bool charged)
@@ -375,6 +382,7 @@
 
 /* Placing */
 
+/* Result of serving a queue: all done, or what stopped the service. */
 enum served { SERVED, NO_PLACE, NO_QUOTA };
 
 static void
@@ -390,7 +398,7 @@
     add_retry_token(e);
 }
 
-/** serve_job() - starts as many of its tasks as there are places for */
+/** serve_job() - starts as many queued tasks of a job as possible */
 static enum served
 serve_job(struct entry *e, struct service_state *s, struct queued *q)
 {
@@ -415,9 +423,10 @@
     return SERVED;
 }
 
-/** serve() - places what can be placed, in order; a few jobs whose next task
- * fits nowhere now are passed over, so that one with unusual needs does not
- * stop the rest */
+/** serve() - starts queued tasks in queue order
+ *
+ * Up to SKIPPED_MAX jobs whose next task fits no place now are passed over, so
+ * that one job with unusual needs does not block the queue. */
 static enum served
 serve(struct entry *e, struct service_state *s)
 {
@@ -513,7 +522,8 @@
     slots_on_message(e, from, m);
 }
 
-/** ours() - whether this instance may start tasks there by its own right */
+/** may_start() - whether this instance may start tasks on @u without borrowing
+ * slots */
 static bool
 may_start(const struct entry *e, const struct upstream *u)
 {
@@ -618,7 +628,8 @@
     }
 }
 
-/** next_unblock() - the earliest time that something held back is free */
+/** earliest_recheck_us() - earliest time at which a blocked place becomes
+ * usable or a slot request is repeated */
 static int64_t
 earliest_recheck_us(const struct entry *e)
 {
--- a/src/dispatch.h
+++ b/src/dispatch.h
@@ -1,5 +1,5 @@
 /**
- * DOC: dispatch - the queue, the order and the placing of tasks
+ * DOC: dispatch - queues tasks per service and places them on upstreams
  */
 #ifndef BM_DISPATCH_H
 #define BM_DISPATCH_H
@@ -8,7 +8,8 @@
 #include "jobs.h"
 #include "upstream.h"
 
-/** struct admission - whether a job may enter the queue, and if not, why */
+/** struct admission - whether a job is admitted to the queue; the fields from
+ * @problem on are set only if it is not */
 struct admission {
     bool admitted;
     enum problem problem;
@@ -20,15 +21,15 @@
 struct dispatch *dispatch_new(const struct entry *e);
 void dispatch_free(struct dispatch *d);
 
-/** dispatch_admit() - by fit, quota, queue bounds and what can still be
- * answered in time; changes nothing */
+/** dispatch_admit() - checks resource needs, quota, queue limits and whether
+ * the job can meet its deadline; does not queue the job */
 struct admission dispatch_admit(struct entry *e, const struct job *job);
 
-/** dispatch_enqueue() - takes all WAITING tasks of a claimed job */
+/** dispatch_enqueue() - queues all TASK_WAITING tasks of a claimed job */
 void dispatch_enqueue(struct entry *e, struct job *job);
 
-/** dispatch_drop_job() - drops a job's queued tasks without any message and
- * cuts the links of its sent ones; their slots free up when they end */
+/** dispatch_drop_job() - removes the queued tasks of a job and detaches its
+ * starts in flight; their slots become free when they end */
 void dispatch_drop_job(struct entry *e, struct job *job);
 
 void dispatch_on_ended(struct entry *e, const struct ev_ended *ev);
@@ -39,30 +40,32 @@
 void dispatch_on_message(struct entry *e, struct name from,
                          const struct msg *m);
 
-/** dispatch_upstream_changed() - its slots, its holder or whether it may be
- * used at all may differ from before */
+/** dispatch_upstream_changed() - the slots, holder, service or availability of
+ * @u may have changed */
 void dispatch_upstream_changed(struct entry *e, struct upstream *u);
 
-/** dispatch_upstream_gone() - no further starts there; sent ones are asked
- * for or, where its incarnation is over, unknown */
+/** dispatch_upstream_gone() - stops starting tasks on an upstream that is
+ * being removed; the outcome of its starts in flight is queried */
 void dispatch_upstream_gone(struct entry *e, struct handle upstream);
 
-/** dispatch_member_down() - what it lent is void, what it borrowed is back */
+/** dispatch_member_down() - drops slots borrowed from @member and ends its
+ * loans */
 void dispatch_member_down(struct entry *e, struct name member);
 
-/** dispatch_config_changed() - quotas and orders are read again */
+/** dispatch_config_changed() - reloads quotas and queue orders */
 void dispatch_config_changed(struct entry *e);
 
-/** dispatch_run() - places what can be placed; called at the end of a step */
+/** dispatch_run() - serves the queues of all dirty services; called at the end
+ * of each step */
 void dispatch_run(struct entry *e);
 
-/** dispatch_accepts_service() - whether an upstream of that service may be
- * announced: one that has a configuration or other upstreams, or there are not
- * too many without */
+/** dispatch_accepts_service() - whether an upstream of @service may be
+ * announced: the service is configured, already has upstreams, or the limit on
+ * unconfigured services is not reached */
 bool dispatch_accepts_service(const struct entry *e, struct name service);
 
-/** dispatch_collect_loads() - fills @loads for a heartbeat; returns their
- * number */
+/** dispatch_collect_loads() - load of each service, for a heartbeat; @loads is
+ * from malloc() and owned by the caller.  Returns the number of loads. */
 size_t dispatch_collect_loads(const struct entry *e, struct rec_load **loads);
 
 void dispatch_tick(struct entry *e);
--- a/src/dispatch_state.h
+++ b/src/dispatch_state.h
@@ -1,9 +1,9 @@
 /**
- * DOC: dispatch_state - what the modules around dispatch.c share
+ * DOC: dispatch_state - state shared by the modules around dispatch.c
  *
- * Internal to the reducer.  dispatch.c queues and places tasks; start.c keeps
- * what is in flight, slot.c lends and borrows slots, quota.c holds back what a
- * team may not start, admit.c judges new jobs.
+ * Internal to the reducer.  dispatch.c queues and places tasks, start.c tracks
+ * starts in flight, slot.c lends and borrows slots, quota.c enforces the
+ * limits of teams and services, admit.c decides whether to admit new jobs.
  */
 #ifndef BM_DISPATCH_STATE_H
 #define BM_DISPATCH_STATE_H
@@ -23,11 +23,12 @@
 struct borrowing;
 
 enum {
-    WORK_CLASSES = 48, /* of queued jobs, by powers of two of their work */
-    UNCONFIGURED_SERVICES_MAX = 1024, /* announced without a configuration */
+    WORK_CLASSES = 48, /* of queued jobs, by log2 of their work */
+    UNCONFIGURED_SERVICES_MAX = 1024, /* with upstreams but no configuration */
 };
 
-/** struct class_work - queued tasks and what they were declared to take */
+/** struct class_work - number of queued tasks of a work class, and the sum of
+ * their declared run times */
 struct class_work {
     uint32_t n_tasks;
     int64_t declared_us;
@@ -35,23 +36,23 @@
 
 /**
  * struct service_state - one service at this instance
- * @name: first, looked up by it
- * @conf: from the configuration in force; NULL where it has none
- * @order: of its queue
- * @quota: of the service itself; NULL without a limit
- * @team_quota: quota of its team; NULL without a limit
+ * @name: map key; must be the first field
+ * @conf: current configuration of the service; NULL if it has none
+ * @order: order of the queue
+ * @quota: quota of the service; NULL if unlimited
+ * @team_quota: quota of the service's team; NULL if unlimited
  * @queue: jobs with queued tasks
- * @run_estimate: run times
- * @pool: where tasks may be started
- * @borrowing: of borrow.c
- * @n_upstreams: whose record points here
- * @n_jobs: with an entry in the queue's books
- * @n_queued: tasks
- * @queued_by_class: what is queued, by class of the job's work
- * @n_running: tasks in flight from here
- * @capacity: slots that its queue may count on, see admit.c
- * @capacity_at_us: when that was worked out
- * @dirty: something changed since its queue was last served
+ * @run_estimate: estimates of run times
+ * @pool: places where tasks may be started
+ * @borrowing: state of borrow.c
+ * @n_upstreams: number of upstreams of the service
+ * @n_jobs: number of jobs that have a struct queued
+ * @n_queued: number of queued tasks
+ * @queued_by_class: queued tasks by work class of their job
+ * @n_running: number of tasks started by this instance and in flight
+ * @capacity: cached estimate of usable slots, see admit_capacity()
+ * @capacity_at_us: monotonic time of that estimate; 0 in @capacity voids it
+ * @dirty: changed since the queue was last served
  */
 struct service_state {
     struct name name;
@@ -78,37 +79,39 @@
     struct service_state **services;
     size_t n_services;
     size_t capacity;
-    size_t sweep_threshold; /* services, at which unused ones are dropped */
+    size_t sweep_threshold; /* number of services that triggers a sweep */
     struct starts *starts;
     struct quotas *quotas;
     struct lending *lending;
     uint32_t n_queued;
-    bool dirty;              /* some service is */
-    int64_t next_recheck_us; /* a place may be used again */
-    double retry_tokens;     /* re-placements that may still be made */
+    bool dirty;              /* some service is dirty */
+    int64_t next_recheck_us; /* next time a blocked place is rechecked */
+    double retry_tokens;     /* retry budget */
 };
 
-/** dispatch_ensure_service() - the state of a service, made when first met */
+/** dispatch_ensure_service() - the state of a service; created if missing */
 struct service_state *dispatch_ensure_service(struct entry *e,
                                               struct name name);
 
-/** dispatch_find_service() - the same, or NULL */
+/** dispatch_find_service() - the state of a service, or NULL */
 struct service_state *dispatch_find_service(const struct entry *e,
                                             struct name name);
 
-/** dispatch_mark_dirty() - the service is served at the end of this step */
+/** dispatch_mark_dirty() - serves the queue of @s at the end of this step */
 void dispatch_mark_dirty(struct entry *e, struct service_state *s);
 
-/** dispatch_run_at() - and once more at that time */
+/** dispatch_run_at() - rechecks blocked places and open slot requests at the
+ * monotonic time @us, or earlier */
 void dispatch_run_at(struct entry *e, int64_t us);
 
-/** dispatch_task_done() - a task's result is known: the job leaves the queue's
- * books with its last */
+/** dispatch_task_done() - a task ended: removes the queue entry of @job when
+ * no task of the job is queued or in flight */
 void dispatch_task_done(struct entry *e, struct job *job);
 
-/** dispatch_requeue() - a task that was proved not to have started goes back
- * to the queue; where it is @charged and the retry budget is spent, its job
- * fails */
+/** dispatch_requeue() - queues a task again that is proved not to have started
+ *
+ * With @charged the retry consumes retry budget; the job fails if none is left
+ * or the task had too many attempts. */
 void dispatch_requeue(struct entry *e, struct job *job, uint32_t index,
                       bool charged);
 
--- a/src/effect.h
+++ b/src/effect.h
@@ -1,8 +1,8 @@
 /**
- * DOC: effect - what an entry instance decides to do, as data
+ * DOC: effect - outputs of an entry instance
  *
- * A step appends effects in order; the shell carries them out in that order.
- * An effect owns what it points to until effects_clear().
+ * A step appends effects; the caller of entry_step() executes them in that
+ * order.  An effect owns the memory it points to until effects_clear().
  */
 #ifndef BM_EFFECT_H
 #define BM_EFFECT_H
@@ -50,8 +50,8 @@
     enum problem problem;
     char detail[DETAIL_SIZE];
     int64_t retry_after_us;       /* 0: no Retry-After */
-    bool not_run;                 /* a fact: nothing of the key ever started */
-    bool request_started_nothing; /* this request started nothing */
+    bool not_run;                 /* no task was ever started under the key */
+    bool request_started_nothing; /* no task was started for this request */
 };
 
 struct ef_keys {
@@ -62,8 +62,8 @@
 
 struct ef_announced {
     uint64_t request;
-    int64_t renew_us;   /* announce again within this */
-    struct name holder; /* empty while there is none */
+    int64_t renew_us;   /* announce again within this time */
+    struct name holder; /* empty if there is none */
 };
 
 struct ef_text {
@@ -72,20 +72,19 @@
 };
 
 struct ef_start {
-    uint64_t call; /* comes back in EV_TASK_ENDED */
+    uint64_t call; /* returned in EV_TASK_ENDED */
     struct name upstream;
     struct address address;
     uint64_t incarnation;
     uint64_t epoch;
     struct key_id key;
-    uint32_t index;       /* of the task in its job */
-    struct blob *payload; /* owned reference */
-    int64_t
-        silence_timeout_us; /* report START_LOST after this long without end */
+    uint32_t index;             /* of the task in its job */
+    struct blob *payload;       /* owned reference */
+    int64_t silence_timeout_us; /* time without an answer until START_LOST */
 };
 
 struct ef_revoke {
-    uint64_t call; /* comes back in EV_TASK_REVOKED */
+    uint64_t call; /* returned in EV_TASK_REVOKED */
     struct name upstream;
     struct address address;
     uint64_t incarnation;
@@ -94,7 +93,7 @@
 };
 
 struct ef_fence {
-    uint64_t call; /* comes back in EV_FENCED */
+    uint64_t call; /* returned in EV_FENCED */
     struct name upstream;
     struct address address;
     uint64_t incarnation;
@@ -107,10 +106,10 @@
 };
 
 struct ef_log {
-    int severity; /* of syslog */
+    int severity; /* syslog level */
     enum reason reason;
-    struct key_id key;   /* zero where the line is not about a job */
-    int32_t index;       /* task; -1 where the line is not about one */
+    struct key_id key;   /* zero if the line is not about a job */
+    int32_t index;       /* of the task, or -1 */
     struct name subject; /* upstream or instance; may be empty */
     char detail[DETAIL_SIZE];
 };
@@ -133,25 +132,26 @@
     } u;
 };
 
-/** struct effects - a growing list, reused from step to step */
+/** struct effects - growable list of effects, reused between steps */
 struct effects {
     struct effect *items;
     size_t n;
     size_t capacity;
 };
 
-/** effects_add() - appends a zeroed effect of that kind and returns it; the
- * pointer holds until the next call.  Ends the process when memory is out:
- * a lost effect could be a lost answer. */
+/** effects_add() - appends a zeroed effect and returns it; the pointer is
+ * valid until the next call.  Aborts if out of memory, since a dropped effect
+ * could be a dropped answer. */
 struct effect *effects_add(struct effects *fx, enum effect_kind kind);
 
-/** effects_clear() - releases what the effects own and empties the list */
+/** effects_clear() - frees the memory owned by the effects and empties the
+ * list */
 void effects_clear(struct effects *fx);
 
-/** effects_free() - effects_clear() and the list itself */
+/** effects_free() - effects_clear(), and frees the list */
 void effects_free(struct effects *fx);
 
-/** effect_name() - the kind in lower case, for traces */
+/** effect_name() - name of an effect kind, for traces */
 const char *effect_name(enum effect_kind kind);
 
 #endif
--- a/src/entry.c
+++ b/src/entry.c
@@ -215,18 +215,19 @@
     free(e);
 }
 
-/* After a long pause the first requests may have waited in the process since
- * before it; this is how long reading them takes at most. */
+/* Upper bound on the time it takes to read requests that were buffered in the
+ * process before a long pause. */
 #define STALE_REQUESTS_US (1 * USEC_PER_SEC)
 
-/* A process that was paused longer than a lease wakes with holds and grants
- * that others may have taken over.  Unless it lets go of them before anything
- * else, its first starts go out under old epochs: refused, but wasted.
+/* While a process is paused for longer than a lease, other instances may take
+ * over its holds and grants.  They are released before the event is handled,
+ * because starts under the old epochs would be refused.
  *
- * A submission under a bare key may have waited in it past the claim window:
- * the voters have forgotten the key, the job may have run elsewhere long ago,
- * and a task would start twice.  A key with a time of issue would be refused
- * as too old; a bare one has none, so for a moment none is taken. */
+ * A submission under a bare key may have been buffered in the process for
+ * longer than the claim window.  By then the voters have dropped the claim and
+ * the job may have run elsewhere, so its tasks would start twice.  A key with
+ * an issue time is refused as too old; a bare key has none, so bare keys are
+ * refused until the buffered requests have been read. */
 static void
 release_after_pause(struct entry *e)
 {
--- a/src/entry.h
+++ b/src/entry.h
@@ -1,10 +1,10 @@
 /**
  * DOC: entry - the reducer of an entry instance
  *
- * All decisions of bm-entry: entry_step() takes one event and appends effects.
- * It reads no clock, does no I/O and draws no randomness but from its seed, so
- * the same events give the same effects in the daemon, in tests and in the
- * bench.  Not thread-safe: one thread owns an entry.
+ * Makes all decisions of bm-entry: entry_step() takes one event and appends
+ * effects.  It reads no clock, does no I/O and uses no randomness other than a
+ * generator seeded from the options, so the same sequence of events always
+ * gives the same effects.  Not thread-safe: an entry belongs to one thread.
  */
 #ifndef BM_ENTRY_H
 #define BM_ENTRY_H
@@ -16,30 +16,30 @@
 
 struct entry;
 
-/** enum placement - who may start tasks on an upstream */
+/** enum placement - which instances may start tasks on an upstream */
 enum placement {
-    PLACE_HOLDER, /* the holder, and those it lends slots to */
-    PLACE_DIRECT, /* every instance, by two random choices */
+    PLACE_HOLDER, /* its holder, and instances that borrowed slots from it */
+    PLACE_DIRECT, /* every instance, by the power of two random choices */
     PLACE_RANDOM, /* every instance, at random (baseline) */
 };
 
-/** struct entry_peer - an entry instance of the region, from the settings */
+/** struct entry_peer - an entry instance of the region */
 struct entry_peer {
     struct name name;
     struct name zone;
 };
 
 /**
- * struct entry_options - how to construct an entry
+ * struct entry_options - parameters of entry_new()
  * @self: name of this instance; one of @peers
- * @incarnation: rises with every start of this instance; wall time in us
- * @peers: all entry instances of the region, this one included; the same on
- *         every instance: claim voters follow from it
- * @controls: bm-control processes to follow for configuration; none in tests
- *            and where the shell brings EV_CONFIG itself
- * @new_region: nothing was ever submitted in this region, so an empty voter
- *              forgets nothing and votes at once
- * @seed: for ties and jitter
+ * @incarnation: increases with every start of this instance; wall time in us
+ * @peers: all entry instances of the region, including this one; must be the
+ *         same on every instance, since the claim voters are derived from it
+ * @controls: bm-control processes to follow for configuration; may be empty
+ *            where the caller supplies EV_CONFIG
+ * @new_region: no job was ever submitted in this region, so a voter without
+ *              records is complete and votes at once
+ * @seed: of the generator used for tie breaking and jitter
  */
 struct entry_options {
     struct name self;
@@ -51,49 +51,52 @@
     bool new_region;
     uint64_t seed;
     enum placement placement;
-    int64_t claim_window_us;     /* how long keys are remembered */
-    int64_t clock_skew_us;       /* bound between wall clocks */
+    int64_t claim_window_us;     /* how long claims are kept */
+    int64_t clock_skew_us;       /* bound on wall clock differences */
     int64_t claim_timeout_us;    /* one round of votes */
     int64_t heartbeat_us;        /* between heartbeats */
     int64_t member_timeout_us;   /* silence after which a member is down */
-    int64_t renew_us;            /* between announcements */
-    int64_t upstream_ttl_us;     /* silence after which an upstream is gone */
+    int64_t renew_us;            /* upstreams announce this often */
+    int64_t upstream_ttl_us;     /* silence after which it is gone */
     int64_t grant_us;            /* lease of lent slots */
-    int64_t answer_keep_us;      /* how long whole answers are kept */
-    size_t answer_keep_bytes;    /* and how many bytes of them */
+    int64_t answer_keep_us;      /* how long answers are kept */
+    size_t answer_keep_bytes;    /* memory limit of kept answers */
     uint32_t queue_max;          /* tasks queued at this instance */
-    uint32_t retry_percent;      /* re-placements a hundred starts may cause */
-    uint32_t quarantine_after;   /* failures in a row */
-    uint32_t quarantine_percent; /* most upstreams of a service at once */
-    bool fewer_messages;         /* prefer fewer messages over response time */
-    bool mutants[MUTANTS];       /* with BM_MUTANTS: wrong decisions to make */
+    uint32_t retry_percent;      /* retries allowed per 100 starts */
+    uint32_t quarantine_after;   /* consecutive failures */
+    uint32_t quarantine_percent; /* of a service's upstreams, at most */
+    bool fewer_messages;         /* at the cost of response time */
+    bool mutants[MUTANTS];       /* with BM_MUTANTS: enabled faults */
 };
 
-/** entry_options_default() - every field but self, peers and incarnation */
+/** entry_options_default() - defaults for all fields except self, peers and
+ * incarnation */
 struct entry_options entry_options_default(void);
 
-/** entry_new() - NULL when @o is not usable (self not in peers, no memory) */
+/** entry_new() - copies @o; NULL if self is not one of the peers, there are
+ * more than INSTANCES_MAX peers, or memory is out */
 struct entry *entry_new(const struct entry_options *o);
 
 /** entry_free() - NULL is allowed */
 void entry_free(struct entry *e);
 
-/** entry_step() - applies one event; effects are appended to @fx */
+/** entry_step() - processes one event; appends effects to @fx */
 void entry_step(struct entry *e, const struct event *ev, struct effects *fx);
 
-/** entry_next_us() - monotonic time of the next timer; a TICK is due then */
+/** entry_next_us() - monotonic time of the next timer, when EV_TICK is due */
 int64_t entry_next_us(const struct entry *e);
 
-/** entry_healthy() - takes new jobs: not stopping and has a configuration */
+/** entry_healthy() - whether new jobs are accepted: the instance has a
+ * configuration and is not stopping */
 bool entry_healthy(const struct entry *e);
 
-/** entry_config_version() - the version in force here; 0 is none */
+/** entry_config_version() - version of the current configuration; 0: none */
 uint64_t entry_config_version(const struct entry *e);
 
-/** entry_config() - the configuration in force, or NULL; for checks */
+/** entry_config() - the current configuration, or NULL */
 const struct config *entry_config(const struct entry *e);
 
-/* Counters: COUNTER(name, help).  All only rise. */
+/* Monotonic counters: COUNTER(name, help) */
 /* clang-format off */
 #define COUNTER_LIST(COUNTER)                                                 \
     COUNTER(jobs_submitted, "jobs submitted here")                            \
@@ -131,9 +134,7 @@
 /** entry_counters() - a copy of the counters */
 struct entry_counters entry_counters(const struct entry *e);
 
-/**
- * struct entry_gauges - sizes of the state, for metrics and capacity
- */
+/** struct entry_gauges - current sizes of the state */
 struct entry_gauges {
     uint64_t jobs;
     uint64_t tasks_queued;
@@ -146,7 +147,7 @@
     uint64_t answer_bytes;
 };
 
-/** entry_gauges() - counted now */
+/** entry_gauges() - computes the gauges from the current state */
 struct entry_gauges entry_gauges(const struct entry *e);
 
 #endif
--- a/src/entry_settings.c
+++ b/src/entry_settings.c
@@ -7,21 +7,24 @@
 
 enum {
     HOUR_MS = 3600000,
-    INBOX = 16384, /* events that may wait, a power of two */
+    INBOX = 16384, /* capacity of the event queue; a power of two */
 };
 
-/* Keys of [limits] that go straight into an option struct, in its unit:
- * LIMIT(key, unit, min, max, default, member, factor, help). */
+/* Keys of [limits] that set a member of struct runtime_options, multiplied by
+ * the factor: LIMIT(key, unit, min, max, default, member, factor, help). */
 /* clang-format off */
 #define LIMIT_LIST(LIMIT)                                                     \
     LIMIT("claim_window_s", "s", 10, 86400, "600",                            \
-        entry.claim_window_us, USEC_PER_SEC, "how long claims of keys are kept")  \
+        entry.claim_window_us, USEC_PER_SEC,                                  \
+        "how long claims of keys are kept")                                   \
     LIMIT("clock_skew_ms", "ms", 0, 60000, "5000",                            \
-        entry.clock_skew_us, USEC_PER_MSEC, "maximum difference between wall clocks")      \
+        entry.clock_skew_us, USEC_PER_MSEC,                                   \
+        "maximum difference between wall clocks")                             \
     LIMIT("claim_timeout_ms", "ms", 1, 10000, "50",                           \
-        entry.claim_timeout_us, USEC_PER_MSEC, "time limit of one round of votes")          \
+        entry.claim_timeout_us, USEC_PER_MSEC,                                \
+        "time limit of one round of votes")                                   \
     LIMIT("heartbeat_ms", "ms", 20, 10000, "500",                             \
-        entry.heartbeat_us, USEC_PER_MSEC, "interval of heartbeats")              \
+        entry.heartbeat_us, USEC_PER_MSEC, "interval of heartbeats")          \
     LIMIT("member_timeout_ms", "ms", 50, 60000, "2000",                       \
         entry.member_timeout_us, USEC_PER_MSEC,                               \
         "silence after which an instance is down")                            \
@@ -29,44 +32,47 @@
         entry.renew_us, USEC_PER_MSEC, "interval of upstream announcements")  \
     LIMIT("upstream_ttl_ms", "ms", 100, 300000, "6000",                       \
         entry.upstream_ttl_us, USEC_PER_MSEC,                                 \
-        "silence after which an upstream is removed")                            \
+        "silence after which an upstream is removed")                         \
     LIMIT("grant_ms", "ms", 50, 60000, "2000",                                \
         entry.grant_us, USEC_PER_MSEC, "lease of lent slots")                 \
     LIMIT("answer_keep_s", "s", 1, 86400, "120",                              \
         entry.answer_keep_us, USEC_PER_SEC, "how long answers are kept")      \
     LIMIT("answer_keep_mb", "MiB", 1, 65536, "64",                            \
-        entry.answer_keep_bytes, 1 << 20, "memory limit of kept answers")      \
+        entry.answer_keep_bytes, 1 << 20, "memory limit of kept answers")     \
     LIMIT("queue_max", "tasks", 1, 10000000, "20000",                         \
-        entry.queue_max, 1, "limit of queued tasks")                       \
+        entry.queue_max, 1, "limit of queued tasks")                          \
     LIMIT("retry_percent", "%", 0, 100, "20",                                 \
-        entry.retry_percent, 1, "retries allowed per 100 starts")   \
+        entry.retry_percent, 1, "retries allowed per 100 starts")             \
     LIMIT("quarantine_after", "failures", 1, 1000, "5",                       \
-        entry.quarantine_after, 1, "consecutive failures of an upstream")        \
+        entry.quarantine_after, 1, "consecutive failures of an upstream")     \
     LIMIT("quarantine_percent", "%", 0, 100, "34",                            \
         entry.quarantine_percent, 1,                                          \
-        "limit of a service's quarantined upstreams")                          \
+        "limit of a service's quarantined upstreams")                         \
     LIMIT("http_threads", "threads", 1, 64, "4",                              \
-        http.threads, 1, "threads of the HTTP server")                                \
+        http.threads, 1, "threads of the HTTP server")                        \
     LIMIT("http_connections", "connections", 16, 1000000, "16384",            \
-        http.connections, 1, "limit of connections of callers")                         \
+        http.connections, 1, "limit of connections of callers")               \
     LIMIT("body_max_kb", "KiB", 1, 65536, "4096",                             \
-        http.body_max, 1024, "maximum size of a request body")                              \
+        http.body_max, 1024, "maximum size of a request body")                \
     LIMIT("body_timeout_ms", "ms", 10, HOUR_MS, "5000",                       \
-        http.body_timeout_ms, 1, "time limit for receiving a request body")       \
+        http.body_timeout_ms, 1, "time limit for receiving a request body")   \
     LIMIT("idle_timeout_s", "s", 1, 3600, "75",                               \
-        http.idle_timeout_s, 1, "idle time until a connection is closed")             \
+        http.idle_timeout_s, 1, "idle time until a connection is closed")     \
     LIMIT("upstream_threads", "threads", 1, UPCLIENT_THREADS_MAX, "4",        \
-        upstreams.threads, 1, "threads of the client for upstreams")                       \
+        upstreams.threads, 1, "threads of the client for upstreams")          \
     LIMIT("upstream_connections", "connections", 1, 65536, "64",              \
-        upstreams.connections_per_upstream, 1, "limit of connections to one upstream")             \
+        upstreams.connections_per_upstream, 1,                                \
+        "limit of connections to one upstream")                               \
     LIMIT("connect_timeout_ms", "ms", 1, 60000, "1000",                       \
-        upstreams.connect_timeout_ms, 1, "time limit for connecting to an upstream")         \
+        upstreams.connect_timeout_ms, 1,                                      \
+        "time limit for connecting to an upstream")                           \
     LIMIT("control_timeout_ms", "ms", 10, 60000, "1000",                      \
-        upstreams.control_timeout_ms, 1, "time limit for control requests to an upstream")     \
+        upstreams.control_timeout_ms, 1,                                      \
+        "time limit for control requests to an upstream")                     \
     LIMIT("upstream_idle_s", "s", 1, 3600, "15",                              \
-        upstreams.idle_s, 1, "idle time until a connection is not reused")      \
+        upstreams.idle_s, 1, "idle time until a connection is not reused")    \
     LIMIT("result_max_kb", "KiB", 1, 65536, "1024",                           \
-        upstreams.result_max, 1024, "maximum size of a task's result")                        \
+        upstreams.result_max, 1024, "maximum size of a task's result")        \
     LIMIT("peer_buffer_mb", "MiB", 1, 1024, "32",                             \
         peers.send_max, 1 << 20, "limit of unsent messages to one instance")
 /* clang-format on */
@@ -168,9 +174,9 @@
     s->runtime.entry.n_controls = n;
 }
 
-/* A file copied from another instance and changed half-way would otherwise
- * give two instances one name, or one instance two zones: its votes would
- * then count in the wrong place. */
+/* Detects a file that was copied from another instance and not fully changed.
+ * Two instances with the same name, or an instance with two zones, would cast
+ * votes that count for the wrong voter. */
 static void
 check_self(struct entry_settings *s)
 {
--- a/src/entry_settings.h
+++ b/src/entry_settings.h
@@ -1,5 +1,5 @@
 /**
- * DOC: entry_settings - the settings file of bm-entry
+ * DOC: entry_settings - reads the settings file of bm-entry
  */
 #ifndef BM_ENTRY_SETTINGS_H
 #define BM_ENTRY_SETTINGS_H
@@ -10,13 +10,17 @@
 #include "settings.h"
 
 /**
- * struct entry_settings - what a settings file says
- * @runtime: points to the members below
- * @services_dir: folder of service files; empty when configuration comes from
- *            control alone
+ * struct entry_settings - contents of a settings file
+ * @file: parsed file; owns the texts
+ * @runtime: options of the runtime; refer to the arrays below
+ * @peers: entry instances of the region
+ * @remotes: addresses of the peers and controls
+ * @controls: bm-control processes
+ * @services_dir: directory of service files; empty if the configuration comes
+ * only from control
  * @log_level: syslog severity
- * @stop_grace_ms: between the first 503 of the health check and the closing
- *                 of the listening socket
+ * @stop_grace_ms: time between the first 503 of the health check and the
+ * closing of the listening socket
  */
 struct entry_settings {
     struct settings *file;
@@ -29,8 +33,8 @@
     int64_t stop_grace_ms;
 };
 
-/** entry_settings_read() - NULL, with all errors printed to @errors, where
- * the file is not right */
+/** entry_settings_read() - reads and checks a file; prints all errors to
+ * @errors and returns NULL if the file is not valid */
 struct entry_settings *entry_settings_read(const char *path, FILE *errors);
 
 /** entry_settings_free() - NULL is allowed */
--- a/src/event.h
+++ b/src/event.h
@@ -1,8 +1,9 @@
 /**
- * DOC: event - everything that can happen to an entry instance
+ * DOC: event - inputs of an entry instance
  *
- * An event lends its pointers for the length of one step; the reducer copies
- * or references what it keeps.  Each event carries the time.
+ * The pointers in an event are borrowed and valid for one step only; the
+ * reducer copies or references what it keeps.  Each event carries the current
+ * time.
  */
 #ifndef BM_EVENT_H
 #define BM_EVENT_H
@@ -44,20 +45,20 @@
         EVENT_KINDS,
 };
 
-/** typedef-free number of an HTTP request that waits for its reply */
+/** No request; other values identify an HTTP request to be answered */
 #define REQUEST_NONE UINT64_C(0)
 
 struct ev_submit {
     uint64_t request;
-    const char *key; /* checked text of the Idempotency-Key */
+    const char *key; /* text of the Idempotency-Key */
     const struct job_spec *spec;
     bool respond_async; /* Prefer: respond-async */
 };
 
 struct ev_query {
     uint64_t request;
-    const char *key; /* NULL where the event needs none */
-    bool wait;       /* JOB_GET: wait for the answer */
+    const char *key; /* NULL for CALLER_GONE and DUMP */
+    bool wait;       /* JOB_GET: wait for the end of the job */
 };
 
 struct ev_mint {
@@ -71,10 +72,10 @@
 };
 
 struct ev_fenced {
-    uint64_t call; /* number from the effect */
+    uint64_t call; /* number from the effect EF_FENCE */
     enum fence_outcome outcome;
-    uint64_t epoch;   /* highest the upstream knows */
-    uint32_t running; /* tasks it runs */
+    uint64_t epoch;   /* highest epoch known to the upstream */
+    uint32_t running; /* tasks that the upstream runs */
 };
 
 struct ev_ended {
@@ -82,7 +83,7 @@
     enum start_outcome outcome;
     bool ok;
     struct blob *result;
-    int64_t ran_us; /* run time the upstream reports; 0 if not told */
+    int64_t ran_us; /* run time reported by the upstream; 0: not reported */
 };
 
 struct ev_revoked {
@@ -125,7 +126,7 @@
     } u;
 };
 
-/** event_name() - the kind in lower case, for traces */
+/** event_name() - name of an event kind, for traces */
 const char *event_name(enum event_kind kind);
 
 #endif
--- a/src/explain.c
+++ b/src/explain.c
@@ -13,14 +13,14 @@
 #include "submission.h"
 
 enum {
-    DECISIONS_MIN_CAPACITY = 4, /* room of a job's first notes */
-    DECISIONS_FIRST = 8,        /* that are never overwritten */
-    DECISIONS_MAX = 16,         /* of one job */
-    RING_SIZE = 4096,           /* decisions of note about any key */
+    DECISIONS_MIN_CAPACITY = 4, /* initial capacity */
+    DECISIONS_FIRST = 8, /* first decisions, which are never overwritten */
+    DECISIONS_MAX = 16,  /* stored in one job */
+    RING_SIZE = 4096,    /* decisions on all keys */
     TIME_SIZE = 40,
 };
 
-/* One decision about a job that is here. */
+/* One decision, as stored in a job. */
 struct decision {
     int64_t wall_us;
     uint16_t reason;
@@ -29,11 +29,12 @@
 };
 
 struct decisions {
-    uint32_t n; /* ever noted */
+    uint32_t n; /* recorded so far, including overwritten ones */
     uint32_t capacity;
     struct decision items[];
 };
 
+/* One decision, as stored in the ring buffer. */
 struct ring_entry {
     struct key_id key;
     struct decision decision;
@@ -42,7 +43,7 @@
 
 struct explain {
     struct ring_entry *ring;
-    uint64_t n; /* ever kept */
+    uint64_t n; /* recorded so far, including overwritten ones */
 };
 
 struct explain *
@@ -104,7 +105,8 @@
     return grown;
 }
 
-/* Where the nth note goes: how a job began and what came last say most. */
+/* Index at which the decision number @n is stored.  The first DECISIONS_FIRST
+ * decisions are kept; the rest of the array is a ring of the latest ones. */
 static uint32_t
 decision_index(uint32_t n)
 {
@@ -160,7 +162,7 @@
     }
 }
 
-/* ---- as JSON ---- */
+/* ---- JSON ---- */
 
 static json_t *
 decision_json(const struct decision *decision, const char *detail)
@@ -208,8 +210,8 @@
     return list;
 }
 
-/* In the order in which they were noted; what was overwritten in between is
- * counted. */
+/* The decisions stored in a job, in the order of recording; "left_out" is the
+ * number of those overwritten in between. */
 static json_t *
 decisions_json(const struct decisions *decisions, json_t *root)
 {
--- a/src/explain.h
+++ b/src/explain.h
@@ -1,9 +1,9 @@
 /**
- * DOC: explain - what was decided for a key, when and why
+ * DOC: explain - record of the decisions made for a key, with time and reason
  *
- * Two memories, both bounded.  A job that is here has notes of its own: its
- * first decisions and its latest ones.  A ring has the latest decisions of
- * note about any key, so that something is left when the job is forgotten.
+ * Kept in two places, both of limited size.  Each job stores its first and its
+ * latest decisions.  A ring buffer stores the latest important decisions on
+ * all keys, so that some remain after the job was removed.
  */
 #ifndef BM_EXPLAIN_H
 #define BM_EXPLAIN_H
@@ -14,20 +14,21 @@
 struct explain *explain_new(void);
 void explain_free(struct explain *x);
 
-/** explain_record_log() - keeps a log line that is about a key */
+/** explain_record_log() - records a log line that is about a key */
 void explain_record_log(struct entry *e, const struct ef_log *log);
 
-/** explain_record() - keeps a decision that is not logged, such as a start */
+/** explain_record() - records a decision on a job that is not logged, such as
+ * a start */
 void explain_record(struct entry *e, struct job *job, enum reason reason,
                     int32_t index, struct name subject);
 
-/** explain_bytes() - bytes of a job's own notes */
+/** explain_bytes() - memory of the decisions stored in a job, in bytes */
 size_t explain_bytes(const struct job *job);
 
-/** explain_clear() - frees a job's own notes */
+/** explain_clear() - frees the decisions stored in a job */
 void explain_clear(struct job *job);
 
-/** explain_query() - answers with what was decided for a key, and why */
+/** explain_query() - answers a query with the decisions on a key */
 void explain_query(struct entry *e, const struct ev_query *q);
 
 #endif
--- a/src/job.h
+++ b/src/job.h
@@ -1,5 +1,5 @@
 /**
- * DOC: job - a job as submitted and its answer
+ * DOC: job - a submitted job, and the answer to a job
  */
 #ifndef BM_JOB_H
 #define BM_JOB_H
@@ -8,19 +8,20 @@
 #include "blob.h"
 #include "kind.h"
 
-/** struct task_spec - one task as submitted; zero values mean the default */
+/** struct task_spec - one task as submitted; zero values select the service's
+ * defaults */
 struct task_spec {
     struct blob *payload;
     struct resources need;
     bool need_given;
-    int64_t run_us; /* declared run time; 0 is not declared */
+    int64_t run_us; /* declared run time; 0: not declared */
 };
 
 /**
  * struct job_spec - a job as submitted
- * @service: it belongs to
- * @deadline_us: from submission; 0 takes the service's default
- * @idempotent: as declared, where @idempotent_given
+ * @service: service that runs the tasks
+ * @deadline_us: relative to the submission; 0 selects the service's default
+ * @idempotent: valid only if @idempotent_given
  * @digest: hash of the submitted body, never 0
  */
 struct job_spec {
@@ -33,14 +34,14 @@
     size_t n_tasks;
 };
 
-/** struct task_result - one task in an answer */
+/** struct task_result - outcome of one task in an answer */
 struct task_result {
     enum task_state state;
     bool ok;
     struct blob *result; /* may be NULL */
 };
 
-/** struct job_answer - the whole answer, complete or failed */
+/** struct job_answer - answer to a job: the outcome of all its tasks */
 struct job_answer {
     enum job_status status;
     enum reason reason;
@@ -48,16 +49,19 @@
     size_t n_tasks;
 };
 
-/** job_spec_new() - an empty job with room for @n_tasks; NULL on no memory */
+/** job_spec_new() - allocates a job of @n_tasks empty tasks; NULL if out of
+ * memory */
 struct job_spec *job_spec_new(size_t n_tasks);
 
-/** job_spec_free() - drops payload references too; NULL is allowed */
+/** job_spec_free() - also drops the references to payloads; NULL is allowed */
 void job_spec_free(struct job_spec *s);
 
-/** job_answer_new() - an answer of @n_tasks tasks, all not run */
+/** job_answer_new() - allocates an answer with all tasks TASK_NOT_RUN; NULL if
+ * out of memory */
 struct job_answer *job_answer_new(size_t n_tasks);
 
-/** job_answer_copy() - deep, sharing results by reference */
+/** job_answer_copy() - copies an answer; the results are shared by reference.
+ * NULL if out of memory */
 struct job_answer *job_answer_copy(const struct job_answer *a);
 
 /** job_answer_free() - NULL is allowed */
--- a/src/job_caller.c
+++ b/src/job_caller.c
@@ -6,12 +6,11 @@
 #include "job_state.h"
 #include "submission.h"
 
-#define FRESH_KEY_US                                                          \
-    (1 * USEC_PER_SEC) /* age of a key not submitted before                   \
-                        */
+/* Keys younger than this are taken as submitted for the first time. */
+#define FRESH_KEY_US (1 * USEC_PER_SEC)
 
 enum {
-    MINT_MAX = 1000,
+    MINT_MAX = 1000, /* keys in one request */
 };
 
 static void
@@ -122,12 +121,15 @@
     }
 }
 
-/* In a burst most jobs are refused, and a claim that is given back at once
- * costs four to seven messages just then.  A key issued a moment ago was not
- * submitted before, so its job can be refused without asking; an older or a
- * bare key may have a job running elsewhere, whose answer its caller shall
- * get however full this instance is.  With direct placement more jobs missed
- * their deadlines this way (docs/design/claims.md). */
+/* Refuses a job before claiming its key, if the instance is overloaded.
+ *
+ * Under overload most jobs are refused, and a claim that is released at once
+ * costs four to seven messages.  A key issued less than FRESH_KEY_US ago was
+ * not submitted before, so its job can be refused without a claim.  An older
+ * or bare key may belong to a job that runs at another instance, whose answer
+ * the caller must get even if this instance is full.  Not done for direct
+ * placement, where more jobs missed their deadlines with it
+ * (docs/design/claims.md). */
 static bool
 refuse_early(struct entry *e, struct job *job)
 {
@@ -202,7 +204,7 @@
     }
 }
 
-/* Asks the key's voters, then its claimer. */
+/* Looks up the claimer with the key's voters, then asks the claimer. */
 static void
 query_new(struct entry *e, const struct ev_query *ev,
           const struct key_ref *key)
@@ -248,8 +250,8 @@
     }
 }
 
-/* A cancel that overtook its submission claims the key itself, so that the
- * submission finds it taken. */
+/* A cancel that arrives before its submission claims the key itself, so that
+ * the submission finds the key taken. */
 static void
 cancel_new(struct entry *e, const struct ev_query *ev,
            const struct key_ref *key)
--- a/src/job_peer.c
+++ b/src/job_peer.c
@@ -30,7 +30,8 @@
     w->wait = wait_id_of(job->self);
     w->cancel = job->cancel_requested ? 1 : 0;
     w->peek = job->no_wait ? 1 : 0;
-    /* No incarnation is 0: who does not know the answer says it is lost. */
+    /* No incarnation is 0: a successor without the answer replies WAIT_LOST
+     * instead of WAIT_RELEASED. */
     w->incarnation = job->at_successor ? 0 : job->claimer_incarnation;
     entry_send(e, job->claimer, &m);
 }
@@ -47,7 +48,7 @@
            (m->incarnation != 0 || e->now.mono_us >= job->claimer_lost_at_us);
 }
 
-/* What the claimer started, nobody can tell. */
+/* Ends a job whose claimer is lost: what the claimer started is unknown. */
 static void
 end_claimer_lost(struct entry *e, struct job *job)
 {
@@ -63,8 +64,9 @@
                            "the instance that took the key is gone");
 }
 
-/* This instance is the successor itself.  A submission would have found the
- * answer under its key; a question by key alone finds it here. */
+/* This instance is itself the successor of the lost claimer.  A submission
+ * would have found a kept answer by its key, but a query is not in the map of
+ * keys and finds the answer here. */
 static void
 answer_as_successor(struct entry *e, struct job *job)
 {
@@ -83,10 +85,10 @@
     end_claimer_lost(e, job);
 }
 
-/* The instance that ran the job is gone or another incarnation of it is
- * there.  If it stopped as planned, its successor keeps its answers: without
- * asking there, every planned stop would turn complete jobs into unknown
- * ones for callers that lost their connection. */
+/* The claimer is down or has restarted.  After a planned stop its successor
+ * keeps its answers.  If the successor were not asked, callers that lost their
+ * connection during a planned stop would get complete jobs reported as
+ * unknown. */
 static void
 on_claimer_lost(struct entry *e, struct job *job)
 {
@@ -125,8 +127,8 @@
     job_remove(e, job);
 }
 
-/* The claimer has the same deadline or an earlier one, and its answer is on
- * the way then: a little patience turns an unknown into an answer. */
+/* Waits for two claim timeouts past the deadline: the claimer has the same
+ * deadline or an earlier one, so its answer is probably already under way. */
 static int64_t
 wait_deadline_us(const struct entry *e, const struct job *job)
 {
@@ -145,8 +147,8 @@
     job_end_unknown(e, job, REASON_DEADLINE);
 }
 
-/* The question may be lost with its connection; asked again, the claimer
- * knows it by its number. */
+/* The request may have been lost with its connection.  The claimer recognizes
+ * a repeated request by its wait number. */
 void
 job_retry_wait(struct entry *e, struct job *job)
 {
@@ -252,8 +254,8 @@
     return true;
 }
 
-/* An answer is whole or it is none: a wrong number of tasks, a state or a
- * reason nobody knows, or a complete job with a task that did not run. */
+/* Rejects answers with too many tasks, with an unknown status, reason or task
+ * state, and complete jobs with a task that did not run. */
 bool
 job_answer_valid(uint64_t status, uint64_t reason,
                  const struct rec_task_answer *tasks, size_t n_tasks)
@@ -336,7 +338,7 @@
 
     if (job == NULL || job->phase != JOB_JOINED ||
         !key_id_equal(job->id, m->key) || !name_equal(job->claimer, from)) {
-        return members_by_name(e, from) != NULL; /* late or doubled */
+        return members_by_name(e, from) != NULL; /* late or duplicate */
     }
     switch (m->outcome) {
     case WAIT_ANSWER:
--- a/src/jobs.c
+++ b/src/jobs.c
@@ -36,8 +36,8 @@
     job->tasks = NULL;
 }
 
-/* With many small jobs the records weigh more than the answers; a bound on
- * the answers alone would let the process grow past its memory. */
+/* Memory of an ended job.  Includes the records, since with many small jobs
+ * they take more memory than the results. */
 static size_t
 memory_size(const struct job *job)
 {
@@ -177,8 +177,8 @@
     return job;
 }
 
-/* An ended job shrinks in two steps: its whole answer is kept for some time,
- * then only that the key was used, for as long as voters know it. */
+/* Drops the answer of an ended job and keeps only the record that the key was
+ * used, for as long as the voters keep the claim. */
 static void
 expire_answer(struct entry *e, struct job *job)
 {
@@ -213,7 +213,7 @@
     }
 }
 
-/* May forget the answer at once. */
+/* Keeps the answer of an ended job; limit_answers() may drop it at once. */
 static void
 keep_answer(struct entry *e, struct job *job)
 {
@@ -237,7 +237,6 @@
     }
 }
 
-/* The answer goes out whole, to everybody who waits, in this very step. */
 void
 job_end(struct entry *e, struct job *job, struct job_answer *answer)
 {
@@ -376,7 +375,6 @@
     }
 }
 
-/* Refuses everybody who waits and forgets the job. */
 void
 job_refuse(struct entry *e, struct job *job, const struct ef_problem *p,
            enum wait_outcome outcome)
@@ -415,7 +413,6 @@
     job_remove(e, job);
 }
 
-/* One more caller for a job that is here already. */
 void
 job_add_waiter(struct entry *e, struct job *job, const struct waiter *w)
 {
@@ -434,7 +431,6 @@
     return digest != 0 && job->digest != 0 && job->digest != digest;
 }
 
-/* Cancels a job that is here. */
 void
 job_cancel(struct entry *e, struct job *job)
 {
--- a/src/jobs.h
+++ b/src/jobs.h
@@ -1,5 +1,5 @@
 /**
- * DOC: jobs - a job from its submission to its answer and its forgetting
+ * DOC: jobs - jobs from submission to answer, and until the key expires
  */
 #ifndef BM_JOBS_H
 #define BM_JOBS_H
@@ -7,35 +7,38 @@
 #include "claim.h"
 #include "entry_state.h"
 
-/** enum task_phase - where a task is on its way */
+/** enum task_phase - progress of a task */
 enum task_phase {
     TASK_WAITING, /* the job is not claimed or not admitted yet */
-    TASK_QUEUED,  /* dispatch may place it */
-    TASK_SENT,    /* a start was sent; it may have started */
-    TASK_ENDED,   /* its result is known */
+    TASK_QUEUED,  /* queued by dispatch.c */
+    TASK_SENT,    /* a start was sent; the task may have started */
+    TASK_ENDED,   /* the result is known */
     TASK_GIVEN_UP,
 };
 
+/** struct task - one task of a job */
 struct task {
     enum task_phase phase;
     uint16_t attempts; /* starts sent */
     bool ok;
     struct resources need;
-    int64_t run_us; /* expected, see estimate.h */
+    int64_t run_us; /* declared, or the service's default */
     struct blob *payload;
     struct blob *result;
-    struct handle start; /* of dispatch.c: the start in flight */
+    struct handle start; /* of start.c: the start in flight */
 };
 
+/** enum job_phase - progress of a job at this instance */
 enum job_phase {
-    JOB_CLAIMING,
-    JOB_JOINED, /* another instance runs it; we wait for its answer */
-    JOB_ACTIVE, /* claimed here; tasks queued or running */
-    JOB_ENDED,  /* answered; kept so that it can be asked for again */
+    JOB_CLAIMING, /* the claim of its key is not decided */
+    JOB_JOINED,   /* claimed by another instance, whose answer is awaited */
+    JOB_ACTIVE,   /* claimed here; tasks queued or running */
+    JOB_ENDED,    /* answered; the answer is kept for later requests */
 };
 
+/** struct job - a submitted job, a cancel, or a query by key */
 struct job {
-    struct key_id id; /* first: looked up by it */
+    struct key_id id; /* map key; must be first */
     struct handle self;
     struct key_ref key;
     enum job_phase phase;
@@ -49,35 +52,39 @@
     int64_t deadline_us;  /* monotonic */
     struct task *tasks;
     uint32_t n_tasks;
-    uint32_t n_queued; /* kept by dispatch.c */
-    uint32_t n_sent;   /* kept by dispatch.c */
+    uint32_t n_queued; /* updated by dispatch.c */
+    uint32_t n_sent;   /* updated by start.c */
     uint32_t n_ended;
-    int64_t work_left_us;      /* expected run time of what has not ended */
-    void *queue_entry;         /* of dispatch.c */
-    struct job_answer *answer; /* while kept */
+    int64_t work_left_us;      /* sum of run_us of unfinished tasks */
+    void *queue_entry;         /* of dispatch.c: struct queued */
+    struct job_answer *answer; /* of an ended job */
     enum job_status status;
     enum reason reason;
     int64_t ended_us;
-    size_t kept_bytes;           /* that the ended job and its answer take */
-    struct decisions *decisions; /* of explain.c */
-    struct waiter *waiters;      /* of jobs.c: callers and instances */
-    struct name claimer;         /* JOB_JOINED */
+    size_t kept_bytes;           /* memory of the ended job and its answer */
+    struct decisions *decisions; /* of explain.c: logged decisions */
+    struct waiter *waiters;      /* callers and instances to be answered */
+    struct name claimer;         /* JOB_JOINED: instance to wait for */
     uint64_t claimer_incarnation;
-    bool at_successor;     /* the claimer named is a successor that keeps its
-                              answers */
-    int64_t next_timer_us; /* monotonic: its next timer */
-    int64_t
-        claimer_lost_at_us; /* JOB_JOINED: when a claimer never met is lost */
-    bool is_query; /* asks for a key without submitting; not in the map */
-    bool no_wait;  /* the query wants to know, not to wait */
-    bool cancel_requested; /* cancelled while the claim is not decided */
+    bool at_successor; /* claimer is the successor that keeps its answers */
+    int64_t next_timer_us;      /* monotonic: next timer */
+    int64_t claimer_lost_at_us; /* JOB_JOINED: when an unseen claimer counts as
+                                   lost */
+    bool is_query; /* lookup by key without a submission; not in by_key */
+    bool no_wait;  /* query that does not wait for the end of the job */
+    bool cancel_requested; /* a cancel was requested */
 };
 
 struct jobs *jobs_new(const struct entry *e);
 void jobs_free(struct jobs *j);
 
+/** jobs_by_handle() - the job of a handle, or NULL */
 struct job *jobs_by_handle(const struct entry *e, struct handle h);
+
+/** jobs_by_key() - the job submitted under a key, or NULL */
 struct job *jobs_by_key(const struct entry *e, struct key_id id);
+
+/** jobs_next() - iterates over all jobs; start with *@at = 0 */
 struct job *jobs_next(const struct entry *e, uint32_t *at);
 
 void jobs_submit(struct entry *e, const struct ev_submit *ev);
@@ -86,38 +93,40 @@
 void jobs_caller_gone(struct entry *e, uint64_t request);
 void jobs_mint_keys(struct entry *e, const struct ev_mint *ev);
 
-/** jobs_on_message() - JOB_WAIT and JOB_ANSWER */
+/** jobs_on_message() - handles JOB_WAIT and JOB_ANSWER */
 void jobs_on_message(struct entry *e, struct name from, const struct msg *m);
 
-/** jobs_claim_result() - from claim.c */
+/** jobs_claim_result() - called by claim.c when an attempt for @job ends */
 void jobs_claim_result(struct entry *e, struct handle job,
                        const struct claim_result *r);
 
-/** jobs_task_ended() - from dispatch.c: the task ran and its result is known;
- * takes a reference of @result.  May end the job. */
+/** jobs_task_ended() - a task ran and its result is known
+ *
+ * Takes a reference to @result.  Ends the job if no other task is open. */
 void jobs_task_ended(struct entry *e, struct job *job, uint32_t index, bool ok,
                      struct blob *result);
 
-/** jobs_fail() - gives a job up: its answer goes out at once, queued tasks as
- * not run, sent ones as unknown */
+/** jobs_fail() - ends an active job as failed: queued tasks are reported as
+ * not run, sent tasks as unknown */
 void jobs_fail(struct entry *e, struct job *job, enum reason reason);
 
-/** jobs_member_down() - a member died or restarted: answers awaited from its
- * earlier incarnation will not come */
+/** jobs_member_down() - @member went down or restarted, so the answers awaited
+ * from its earlier incarnation are lost */
 void jobs_member_down(struct entry *e, struct name member);
 
-/** jobs_config_changed() - service pointers are looked up again */
+/** jobs_config_changed() - updates the service pointers of all jobs */
 void jobs_config_changed(struct entry *e);
 
 void jobs_tick(struct entry *e);
 int64_t jobs_next_us(const struct entry *e);
 
-/** jobs_holds_key() - whether this incarnation has the key or is asking for
- * it, so that a late grant belongs to it */
+/** jobs_holds_key() - whether this incarnation has claimed the key or is
+ * claiming it, so that a late grant belongs to it */
 bool jobs_holds_key(const struct entry *e, struct key_id id);
 
-/** jobs_count_active() - jobs that still owe somebody an answer */
+/** jobs_count_active() - number of jobs that have not ended */
 size_t jobs_count_active(const struct entry *e);
+
 /** jobs_answer_bytes() - memory of ended jobs whose answers are kept */
 size_t jobs_answer_bytes(const struct entry *e);
 
--- a/src/place.c
+++ b/src/place.c
@@ -8,11 +8,11 @@
 
 enum {
     POOL_MIN_CAPACITY = 16,
-    EXAMINED_MAX = 8,    /* places of a level compared with one another */
-    LOAD_LEVELS = 8,     /* levels that tell how loaded an upstream is */
-    REMOTE_LEVEL = 8,    /* of slots in another zone */
-    RANDOM_TRIES = 8,    /* before all places are looked through */
-    BLOCK_DOUBLINGS = 7, /* refusals in a row that lengthen a block */
+    EXAMINED_MAX = 8,    /* places of a level examined for an unused rack */
+    LOAD_LEVELS = 8,     /* levels by share of used slots */
+    REMOTE_LEVEL = 8,    /* base level of grants in other zones */
+    RANDOM_TRIES = 8,    /* before all places are searched */
+    BLOCK_DOUBLINGS = 7, /* of BLOCK_US, by consecutive refusals */
 };
 
 #define BLOCK_US (10 * USEC_PER_MSEC)
@@ -68,7 +68,7 @@
     return a < b ? a : b;
 }
 
-/** resources_times() - how often a need fits into what an upstream has left */
+/** tasks_fitting() - how many tasks fit into the unused resources of @u */
 static uint64_t
 tasks_fitting(const struct upstream *u, struct resources need)
 {
@@ -108,7 +108,7 @@
         uint32_t usable = upstreams_usable_slots(u);
 
         if (u->info.quarantined) {
-            return 0; /* a probe is due: the next task that may goes there */
+            return 0; /* a probe is due: prefer it for the next allowed task */
         }
         level = (usable - place_free_slots(e, p)) * LOAD_LEVELS / usable;
     }
@@ -143,7 +143,8 @@
     pool->n_available--;
 }
 
-/** list_last() - the last of its level, so that equals take turns */
+/** list_append() - appends a place to its level, so that places of the same
+ * level are used in turn */
 static void
 list_append(struct place *p, uint8_t level)
 {
@@ -246,7 +247,7 @@
     memset(pool, 0, sizeof(*pool));
 }
 
-/* Picking */
+/* Choosing a place */
 
 static bool
 is_acceptable(const struct entry *e, const struct place *p,
@@ -261,8 +262,8 @@
     return true;
 }
 
-/** pick_level() - in a level of equals, one on a rack that the job is not on
- * yet where one is near the front, else the first that fits */
+/** pick_level() - a place of one level: one of the first EXAMINED_MAX on a
+ * rack that the job does not use yet, otherwise the first that fits */
 static struct place *
 pick_level(const struct entry *e, struct place *first, const struct pick *pick)
 {
@@ -306,7 +307,7 @@
     return pool->all_places[entry_random(e) % pool->n_places];
 }
 
-/** pick_in_turn() - the first that fits, from a random one on */
+/** pick_first_fit() - the first place that fits, from a random start */
 static struct place *
 pick_first_fit(struct entry *e, struct pool *pool, const struct pick *pick)
 {
--- a/src/place.h
+++ b/src/place.h
@@ -1,10 +1,12 @@
 /**
- * DOC: place - where this instance may start tasks of a service
+ * DOC: place - places where this instance may start tasks of a service
  *
- * A place is an upstream that this instance holds, or slots on one that its
- * holder has lent (slot.h).  Places with a free slot are kept in lists by
- * level: the less loaded, the faster and the healthier, the lower.  So picking
- * looks at a few places, however many upstreams there are.
+ * A place is either an upstream on which this instance may start tasks by its
+ * own right, or a grant: slots that the upstream's holder has lent (slot.h).
+ * Places with a free slot are kept in lists by level; the less loaded, the
+ * faster and the healthier the upstream, the lower the level.  Choosing a
+ * place therefore examines only a few of them, however many upstreams there
+ * are.
  */
 #ifndef BM_PLACE_H
 #define BM_PLACE_H
@@ -18,27 +20,30 @@
 
 /**
  * struct place - one upstream, or a grant of slots on one
- * @pool: of its service
- * @upstream: its record; NULL for one of another zone
- * @name: of the upstream
- * @zone: of the upstream
- * @address: of the upstream
- * @incarnation: of the upstream
- * @epoch: for starts
- * @grant_id: number given by the lender; 0 for a hold of our own
- * @lender: who granted it
- * @slots: of the grant
- * @slots_used: our starts in flight there
- * @failures: in a row, told to the lender
- * @unreported_successes: tasks that ran and succeeded, not told to the lender
- * yet
- * @slot_size: resources in each slot of the grant
- * @expires_us: no starts under the grant after that
- * @last_used_us: last start or end
- * @blocked_until_us: no starts before that
- * @refusals: in a row
- * @closed: no starts any more; returned when what runs has ended
- * @rack_bit: bit of its rack in struct queued
+ * @pool: pool of the service
+ * @upstream: record of the upstream; NULL if it is in another zone
+ * @name: name of the upstream
+ * @zone: zone of the upstream
+ * @address: address of the upstream
+ * @incarnation: incarnation of the upstream
+ * @epoch: epoch to send with starts
+ * @grant_id: number chosen by the lender; 0 if the place is not a grant
+ * @lender: instance that granted the slots
+ * @slots: number of slots granted
+ * @slots_used: starts of this instance in flight there
+ * @failures: consecutive failures, reported to the lender
+ * @unreported_successes: tasks that succeeded, not yet reported to the lender
+ * @slot_size: resources of each granted slot
+ * @expires_us: monotonic end of the grant; no starts from then on
+ * @last_used_us: monotonic time of the last start or end
+ * @blocked_until_us: monotonic time before which nothing is started
+ * @refusals: consecutive refused starts
+ * @closed: no further starts; removed when all starts in flight have ended
+ * @listed: in the list of its level
+ * @counted_free: free slots that are included in the pool's own_free
+ * @level: list that the place is in
+ * @rack_bit: bit that stands for the upstream's rack, see struct queued
+ * @pool_index: index in the pool's array
  */
 struct place {
     struct handle self;
@@ -62,29 +67,29 @@
     uint32_t refusals;
     bool closed;
     bool listed;
-    uint32_t counted_free; /* in the pool's own_free */
+    uint32_t counted_free;
     uint8_t level;
     uint64_t rack_bit;
-    size_t pool_index; /* in the pool's array */
+    size_t pool_index;
     struct place *next;
     struct place *previous;
 };
 
-/** struct pool - the places of one service */
+/** struct pool - all places of one service */
 struct pool {
     struct place **all_places;
     size_t n_places;
     size_t capacity;
     size_t n_available;      /* places with a free slot */
-    uint32_t own_free_slots; /* free slots at places that are not borrowed */
+    uint32_t own_free_slots; /* free slots at places that are not grants */
     struct place *level_lists[PLACE_LEVELS];
 };
 
 /**
- * struct pick - what a task asks of a place
- * @need: of the task
- * @rack_bits: bits of racks that other tasks of its job are on
- * @idempotent: may be used to try a quarantined upstream early
+ * struct pick - what a task requires of a place
+ * @need: resources of the task
+ * @rack_bits: bits of the racks on which other tasks of the job were started
+ * @idempotent: the task may probe a quarantined upstream early
  */
 struct pick {
     struct resources need;
@@ -92,39 +97,40 @@
     bool idempotent;
 };
 
-/** pool_add() - takes over a place */
+/** pool_add() - adds a place, which must stay valid until pool_remove() */
 void pool_add(struct entry *e, struct pool *pool, struct place *p);
 
-/** pool_remove() - the place is the caller's again */
+/** pool_remove() - removes a place; does not free it */
 void pool_remove(struct pool *pool, struct place *p);
 
-/** pool_pick() - the best place with room for a task, or NULL */
+/** pool_pick() - the best place with capacity for the task, or NULL */
 struct place *pool_pick(struct entry *e, struct pool *pool,
                         const struct pick *pick);
 
-/** pool_clear() - frees the arrays, not the places */
+/** pool_clear() - empties the pool; does not free the places */
 void pool_clear(struct pool *pool);
 
-/** place_free_slots() - slots a task may be started on now */
+/** place_free_slots() - number of slots on which a task may be started now */
 uint32_t place_free_slots(const struct entry *e, const struct place *p);
 
-/** place_task_capacity() - how many tasks of that need there is room for */
+/** place_task_capacity() - number of tasks with that need that may be started
+ * now */
 uint32_t place_task_capacity(const struct entry *e, const struct place *p,
                              struct resources need);
 
-/** place_update() - to be called when what place_free_slots() looks at changed
- */
+/** place_update() - recomputes the free slots and level of a place; must be
+ * called whenever the result of place_free_slots() may have changed */
 void place_update(struct entry *e, struct place *p);
 
-/** place_available_at_us() - when it may be used again, by itself; INT64_MAX
- * if not */
+/** place_available_at_us() - monotonic time at which an unusable place becomes
+ * usable without any further event; INT64_MAX if there is none */
 int64_t place_available_at_us(const struct entry *e, const struct place *p);
 
-/** place_block() - no starts for a while, longer with each call in a row */
+/** place_block() - no starts at the place for a while; the time doubles with
+ * each consecutive call, up to a limit */
 void place_block(struct entry *e, struct place *p);
 
-/** place_is_own() - whether this instance holds the upstream, or needs no hold
- */
+/** place_is_own() - whether the place is not a grant */
 bool place_is_own(const struct place *p);
 
 #endif
--- a/src/queue.c
+++ b/src/queue.c
@@ -5,13 +5,13 @@
 
 enum {
     QUEUE_MIN_CAPACITY = 32,
-    HANDICAP_FACTOR = 4,        /* weight of work against waiting */
-    HANDICAP_LIMIT_DIVISOR = 2, /* of the time limit, at most */
+    HANDICAP_FACTOR = 4,        /* weight of work relative to waiting time */
+    HANDICAP_LIMIT_DIVISOR = 2, /* of the time limit: longest handicap */
 };
 
-/* With least work first alone, a steady stream of small jobs would keep a
- * large one waiting until its deadline.  The handicap is bounded by half of
- * the job's time limit, so nothing that comes later than that overtakes. */
+/* With least-work-first order alone, a steady stream of small jobs would keep
+ * a large job waiting until its deadline.  The handicap is limited to half of
+ * the job's time limit, so jobs submitted later than that do not overtake. */
 int64_t
 queue_rank_us(enum queue_order order, const struct queued *q, int64_t work_us)
 {
--- a/src/queue.h
+++ b/src/queue.h
@@ -1,10 +1,10 @@
 /**
- * DOC: queue - the jobs of a service that have tasks to start, in order
+ * DOC: queue - priority queue of a service's jobs that have tasks to start
  *
- * A binary heap of jobs, so that a job of 250 tasks costs one place.  A job's
- * rank is a time: its submission plus a handicap that grows with the work it
- * has left.  Since all jobs age alike the rank stays as it is while the job
- * waits, and no order has to be worked out again as time passes.
+ * A binary heap of jobs, not of tasks, so that a job of 250 tasks takes one
+ * entry.  The rank of a job is a time: its submission plus a handicap that
+ * grows with the job's remaining work.  Waiting jobs all age at the same rate,
+ * so ranks do not change as time passes and the heap need not be rebuilt.
  */
 #ifndef BM_QUEUE_H
 #define BM_QUEUE_H
@@ -19,19 +19,19 @@
 struct service_state;
 
 /**
- * struct queued - a job in the queue or with tasks that may come back to it
- * @job: its handle
- * @service: whose queue it belongs to
- * @submitted_us: monotonic
- * @time_limit_us: from submission to deadline
- * @rank_us: smaller goes first
- * @sequence: decides between equal ranks, in order of arrival
- * @heap_pos: place in the heap plus one; 0 while it is not in
- * @declared_us: of the queued tasks, together
- * @work_class: of its work when it came, see admit.c
- * @rack_bits: bits of the racks its tasks were started on, see place.h
- * @n_tasks: queued tasks
- * @tasks: their numbers; the last goes first
+ * struct queued - queue entry of a job that has tasks queued or in flight
+ * @job: handle of the job
+ * @service: service whose queue the entry belongs to
+ * @submitted_us: monotonic time of the submission
+ * @time_limit_us: time from submission to deadline
+ * @rank_us: lower ranks are served first
+ * @sequence: order of arrival, for equal ranks; 0 until first queued
+ * @heap_pos: index in the heap plus one; 0 while not in the heap
+ * @declared_us: sum of the declared run times of the queued tasks
+ * @work_class: work class of the job at submission, see admit_work_class()
+ * @rack_bits: bits of the racks on which tasks were started, see struct place
+ * @n_tasks: number of queued tasks
+ * @tasks: indices of the queued tasks; started from the end
  */
 struct queued {
     struct handle job;
@@ -55,21 +55,21 @@
     uint64_t last_sequence;
 };
 
-/** queue_rank_us() - @work_us is the job's queued work spread over all slots
- * that the service may use */
+/** queue_rank_us() - rank of a job; @work_us is the job's queued work divided
+ * by the number of slots that the service may use */
 int64_t queue_rank_us(enum queue_order order, const struct queued *q,
                       int64_t work_us);
 
-/** queue_put() - adds, or moves to where its rank belongs */
+/** queue_put() - adds an entry, or moves it after a change of its rank */
 void queue_put(struct queue *qu, struct queued *q);
 
-/** queue_remove() - does nothing when it is not in */
+/** queue_remove() - removes an entry; does nothing if it is not in the heap */
 void queue_remove(struct queue *qu, struct queued *q);
 
-/** queue_first() - the job to serve next, or NULL */
+/** queue_first() - the entry to serve next, or NULL */
 struct queued *queue_first(const struct queue *qu);
 
-/** queue_clear() - frees the heap, not the jobs */
+/** queue_clear() - frees the heap, but not the entries */
 void queue_clear(struct queue *qu);
 
 #endif
--- a/src/route.c
+++ b/src/route.c
@@ -13,7 +13,8 @@
 #undef ROUTE
 };
 
-/* Where the path is that of a route: its name, and the name's length. */
+/* Whether @path matches route @i; if so, sets @name to the name within the
+ * path and @n to the length of the name. */
 static bool
 path_matches(size_t i, const char *path, const char **name, size_t *n)
 {
--- a/src/route.h
+++ b/src/route.h
@@ -1,13 +1,13 @@
 /**
- * DOC: route - which request is meant by a method and a path
+ * DOC: route - finds the route of an HTTP request by method and path
  */
 #ifndef BM_ROUTE_H
 #define BM_ROUTE_H
 
 #include "base.h"
 
-/* ROUTE(KIND, method, path, what follows the name).  A path that ends in a
- * slash takes a name: a key or an upstream. */
+/* ROUTE(KIND, method, path, suffix after the name).  A path that ends in a
+ * slash is followed by a name: a key or an upstream. */
 /* clang-format off */
 #define ROUTE_LIST(ROUTE)                                                     \
     ROUTE(SUBMIT, "POST", "/v1/jobs", "")                                     \
@@ -29,16 +29,16 @@
 #undef ROUTE
         ROUTES,
     ROUTE_NOT_FOUND,
-    ROUTE_METHOD_NOT_ALLOWED, /* the path is known, with other methods */
+    ROUTE_METHOD_NOT_ALLOWED, /* the path exists, but not with this method */
 };
 
 enum { ALLOW_SIZE = 32 };
 
 /**
- * struct route_match - what was found
- * @kind: see above
- * @name: the name in the path; empty where there is none
- * @name_truncated: the name was longer than any may be
+ * struct route_match - result of route_find()
+ * @kind: the route, ROUTE_NOT_FOUND or ROUTE_METHOD_NOT_ALLOWED
+ * @name: name in the path; empty if the route has none
+ * @name_truncated: the name was too long and is truncated
  * @allow: for ROUTE_METHOD_NOT_ALLOWED, the value of the Allow header
  */
 struct route_match {
@@ -48,7 +48,8 @@
     char allow[ALLOW_SIZE];
 };
 
-/** route_find() - @path is percent-decoded, without the query */
+/** route_find() - finds the route of a request; @path is percent-decoded and
+ * without the query */
 struct route_match route_find(const char *method, const char *path);
 
 #endif
--- a/src/vote.c
+++ b/src/vote.c
@@ -6,8 +6,8 @@
 #include "member.h"
 
 enum {
-    SWEEP_PARTS = 60, /* ticks in which all records are looked at */
-    SWEEP_MIN = 64,   /* places looked at in one tick */
+    SWEEP_PARTS = 60, /* calls after which all records were checked */
+    SWEEP_MIN = 64,   /* table entries checked in one call, at least */
 };
 
 void
@@ -72,8 +72,8 @@
     return v != NULL && v->ready;
 }
 
-/* A record outlives its key by the skew between clocks: an instance whose
- * clock is behind may still take the key. */
+/* A record is kept longer than its key is valid, by twice the clock skew: an
+ * instance whose clock is behind may still accept the key. */
 int64_t
 vote_record_expiry_us(const struct entry *e, int64_t issued_us)
 {
@@ -114,10 +114,11 @@
     return r;
 }
 
-/* Whether this voter can know all that was ever claimed under the key: it
- * knows all live claims, or the key is younger than its own life.  Voters
- * refuse keys issued further than the skew in the future, so an earlier
- * incarnation cannot have granted a key issued two skews after this start. */
+/* Whether this voter knows every claim that may exist for a key without a
+ * record: it has records of all live claims, or the key was issued after the
+ * start of this incarnation.  Voters refuse keys issued further in the future
+ * than the clock skew, so an earlier incarnation cannot have granted a key
+ * issued more than twice the skew after this start. */
 static bool
 may_vote(const struct entry *e, const struct zone_voter *v, int64_t issued_us)
 {
@@ -184,9 +185,9 @@
     e->counters.claims_granted++;
 }
 
-/* Decides on a key that is recorded already.  A copy in a voter that is not
- * ready is no vote: what another voter granted was not granted here, and
- * counted twice it would make a majority of one. */
+/* Votes on a key that has a record.  A copied record in a voter that is not
+ * ready is not a vote: the claim was granted by another voter, and counting
+ * that grant twice would make a majority out of one vote. */
 static void
 vote_on_record(struct entry *e, const struct zone_voter *v,
                const struct rec_claim *m, uint16_t claimer, struct claim *r,
@@ -247,8 +248,8 @@
     }
 }
 
-/* Every reply tells which incarnations of the fellow voters were met: see
- * grant_stale(). */
+/* Adds the newest known incarnations of the other voters to a reply, see
+ * grant_stale() in claim.c. */
 static void
 add_views(const struct entry *e, const struct zone_voter *v,
           struct rec_claim_reply *reply)
@@ -322,7 +323,7 @@
     return true;
 }
 
-/* Looks at a part of the records, so that no tick takes long. */
+/* Checks only a part of the records per call, so that no tick takes long. */
 void
 vote_sweep(struct entry *e)
 {
--- a/src/waiter.c
+++ b/src/waiter.c
@@ -64,8 +64,9 @@
     return job->waiters;
 }
 
-/* A cancel that came before the submission knows no tasks; towards whoever
- * submitted some, each of them is not run. */
+/* Copies the answer for a waiter.  The answer of a job that was cancelled
+ * before its submission arrived has no tasks; a waiter that submitted tasks
+ * gets each of them reported as not run. */
 static struct job_answer *
 copy_answer_for(const struct waiter *w, const struct job_answer *answer)
 {
