--- a/tests/claim_test.c
+++ b/tests/claim_test.c
@@ -1,4 +1,5 @@
-/* Claims: at most one claimer for a key, whatever happens to its voters. */
+/* Claims: at most one claimer per key under restarts of voters, lost messages
+ * and split votes. */
 #include <stdio.h>
 #include <string.h>
 
@@ -7,8 +8,8 @@
 #include "entry_net.h"
 
 enum {
-    SCHEDULES = 150, /* random ones; each a seed */
-    KEYS = 12,       /* in one of them */
+    SCHEDULES = 150, /* seeds of random_schedules */
+    KEYS = 12,       /* in one schedule */
     VOTERS = 3,      /* nodes 0 to 2, in zone z0 */
     NODE_C = 3,
     NODE_D = 4,
@@ -17,47 +18,49 @@
 #define MSEC USEC_PER_MSEC
 #define SEC USEC_PER_SEC
 
-/* Which claim messages the network swallows now. */
-static bool cut[ENET_NODES_MAX][ENET_NODES_MAX];
+/* Links on which messages are dropped, by sender and receiver. */
+static bool drop_link[ENET_NODES_MAX][ENET_NODES_MAX];
 
 static enum enet_delivery
-claims_cut(struct enet *n, int from, int to, const struct msg *m)
+drop_claims(struct enet *n, int from, int to, const struct msg *m)
 {
     (void)n;
-    return m->kind == MSG_CLAIM && cut[from][to] ? ENET_DROP : ENET_DELIVER;
+    return m->kind == MSG_CLAIM && drop_link[from][to] ? ENET_DROP
+                                                       : ENET_DELIVER;
 }
 
-/* Besides, whatever the first voter says to NODE_C gets lost. */
-static bool deaf;
+/* Also drop all messages from the first voter to NODE_C. */
+static bool drop_voter_to_c;
 
 static enum enet_delivery
-claims_cut_and_deaf(struct enet *n, int from, int to, const struct msg *m)
+drop_claims_and_voter_to_c(struct enet *n, int from, int to,
+                           const struct msg *m)
 {
-    if (deaf && from == 0 && to == NODE_C) {
+    if (drop_voter_to_c && from == 0 && to == NODE_C) {
         return ENET_DROP;
     }
-    return claims_cut(n, from, to, m);
+    return drop_claims(n, from, to, m);
 }
 
 static enum enet_delivery
-all_cut(struct enet *n, int from, int to, const struct msg *m)
+drop_all(struct enet *n, int from, int to, const struct msg *m)
 {
     (void)n;
     (void)m;
-    return cut[from][to] ? ENET_DROP : ENET_DELIVER;
+    return drop_link[from][to] ? ENET_DROP : ENET_DELIVER;
 }
 
 static void
-cut_none(void)
+restore_links(void)
 {
-    memset(cut, 0, sizeof(cut));
+    memset(drop_link, 0, sizeof(drop_link));
 }
 
 static void
-cut_all_but(int from, int to)
+drop_links_except(int from, int to)
 {
     for (int i = 0; i < ENET_NODES_MAX; i++) {
-        cut[from][i] = i != to;
+        drop_link[from][i] = i != to;
     }
 }
 
@@ -69,14 +72,14 @@
                              .seed = 7,
                              .new_region = true,
                              .run_us = 100 * MSEC,
-                             .filter = claims_cut};
+                             .filter = drop_claims};
 
-    cut_none();
+    restore_links();
     return enet_new(&o);
 }
 
 static void
-grant_of_restarted_voter(bool then_deaf)
+grant_of_restarted_voter(bool then_drop_replies)
 {
     struct enet *n = two_zones();
     char key[KEY_TEXT_SIZE];
@@ -84,23 +87,23 @@
     uint64_t d;
 
     enet_mint_key(n, "z0", 1, 0, key);
-    cut_all_but(NODE_C, 0);
+    drop_links_except(NODE_C, 0);
     c = enet_submit(n, NODE_C, key, 3, 11);
     enet_run(n, 70 * MSEC);
     CU_ASSERT_EQUAL(claims_count(n->nodes[0].e), 1);
-    n->opts.filter = claims_cut_and_deaf;
-    deaf = then_deaf;
+    n->opts.filter = drop_claims_and_voter_to_c;
+    drop_voter_to_c = then_drop_replies;
     enet_restart(n, 0);
     enet_run(n, 10 * MSEC);
     CU_ASSERT_TRUE(claims_voter_ready(n->nodes[0].e, name_of("z0")));
     CU_ASSERT_EQUAL(claims_count(n->nodes[0].e), 0);
-    cut[NODE_D][1] = true;
+    drop_link[NODE_D][1] = true;
     d = enet_submit(n, NODE_D, key, 3, 11);
     enet_run(n, 60 * MSEC);
     CU_ASSERT_EQUAL(enet_count_starts(n, key, ENET_ALL_TASKS), 3);
-    cut[NODE_C][1] = false;
+    drop_link[NODE_C][1] = false;
     enet_run(n, 100 * MSEC);
-    deaf = false;
+    drop_voter_to_c = false;
     enet_run(n, SEC);
     CU_ASSERT_EQUAL(enet_count_starts(n, key, ENET_ALL_TASKS), 3);
     CU_ASSERT_TRUE(enet_answered_with(n, c, JOB_COMPLETE, REASON_COMPLETED));
@@ -108,30 +111,30 @@
     enet_free(n);
 }
 
-/* A submission reaches one voter, which grants it and then restarts empty and
- * takes over the claims of the other two.  The same submission reaches
- * another instance, which gets the restarted voter and a second one.  Now the
- * first instance reaches the third voter and has two grants as well.  Were
- * both counted, one camp plot would be given to two groups. */
+/* Guards against two claimers that both reach a majority.  A voter grants a
+ * claim of NODE_C, restarts without records and copies the claims of the other
+ * two.  NODE_D then claims the same key with the restarted voter and a second
+ * one.  When NODE_C gets its second grant from another voter, the grant from
+ * before the restart must not be counted. */
 static void
 grant_of_restarted_voter_does_not_count(void)
 {
     grant_of_restarted_voter(false);
 }
 
-/* The same, and the first instance hears nothing from the restarted voter
- * itself.  Only the third voter's reply can tell it of the restart. */
+/* The same, but NODE_C gets no messages from the restarted voter, so it can
+ * learn of the restart only from another voter's reply. */
 static void
-restart_is_learnt_from_another_voter(void)
+restart_is_reported_by_another_voter(void)
 {
     grant_of_restarted_voter(true);
 }
 
-/* A voter restarts empty.  A caller whose answer was lost submits again, at
- * the very instance that restarted.  Had it not taken over the claims, it
- * would grant the key a second time together with the third voter. */
+/* A voter restarts without records, and the job is resubmitted at that
+ * instance.  If the voter had not copied the live claims, it would grant the
+ * key a second time together with the third voter. */
 static void
-restarted_voter_knows_live_claims(void)
+restarted_voter_copies_live_claims(void)
 {
     struct enet *n = two_zones();
     char key[KEY_TEXT_SIZE];
@@ -151,9 +154,10 @@
     enet_free(n);
 }
 
-/* Two of three voters restart, one right after the other: each lacks what the
- * other forgot, so between them the claim of a running job may be lost.  A
- * resubmission is refused until the window has passed; new keys go on. */
+/* Two of three voters restart at the same time and cannot copy complete
+ * records from each other, so the claim of a running job may be lost.  Until
+ * the claim window has passed, a resubmission may be refused but must not
+ * start tasks again.  Keys issued after the restarts must be granted. */
 static void
 two_voters_restart_at_once(void)
 {
@@ -162,7 +166,7 @@
     char other[KEY_TEXT_SIZE];
     uint64_t again;
     uint64_t bare;
-    uint64_t fresh;
+    uint64_t new_key;
 
     enet_mint_key(n, "z0", 1, 0, key);
     (void)enet_submit(n, NODE_C, key, 2, 11);
@@ -174,7 +178,7 @@
     again = enet_submit(n, NODE_D, key, 2, 11);
     bare = enet_submit(n, NODE_D, "bare-of-z0-2", 1, 12);
     enet_mint_key(n, "z0", 2, 0, other);
-    fresh = enet_submit(n, NODE_D, other, 1, 13);
+    new_key = enet_submit(n, NODE_D, other, 1, 13);
     enet_run(n, SEC);
     CU_ASSERT_EQUAL(enet_count_starts(n, key, ENET_ALL_TASKS), 2);
     CU_ASSERT_TRUE(
@@ -184,17 +188,17 @@
         enet_answered_with(n, bare, JOB_COMPLETE, REASON_COMPLETED) ||
         enet_refused_with(n, bare, PROBLEM_NO_CLAIM));
     CU_ASSERT_TRUE(
-        enet_answered_with(n, fresh, JOB_COMPLETE, REASON_COMPLETED));
+        enet_answered_with(n, new_key, JOB_COMPLETE, REASON_COMPLETED));
     enet_run(n, 615 * SEC);
     CU_ASSERT_TRUE(claims_voter_ready(n->nodes[0].e, name_of("z0")));
     enet_free(n);
 }
 
-/* The same submission arrives at three instances in the same instant, so each
- * of three voters may grant it to another one.  If nobody yielded, all three
- * callers would be refused; if two won, the job would run twice. */
+/* The same submission arrives at three instances at the same time, so each of
+ * the three voters may grant it to a different one.  If no claimer yielded,
+ * all three callers would be refused; if two won, the job would run twice. */
 static void
-split_votes_are_settled(void)
+split_votes_are_resolved(void)
 {
     struct enet *n = two_zones();
 
@@ -216,10 +220,10 @@
     enet_free(n);
 }
 
-/* One voter is dead, and two instances each hold the vote of one of the
- * others.  Neither can get a majority until one gives its vote back. */
+/* One voter is down, and two claimers have one of the remaining votes each.
+ * Neither can reach a majority until the other releases its vote. */
 static void
-split_votes_with_a_dead_voter(void)
+split_votes_with_a_voter_down(void)
 {
     struct enet *n = two_zones();
 
@@ -243,21 +247,21 @@
     enet_free(n);
 }
 
-/* A zone is cut off and one of its instances dies: two voters are left and
- * go on.  With one left no key of the zone can be claimed, and callers hear
- * so at once instead of at their deadline. */
+/* An isolated zone loses one of its instances and keeps claiming keys with the
+ * other two voters.  With a single voter no key of the zone can be claimed,
+ * and callers must be refused at once, not at their deadline. */
 static void
-cut_off_zone_goes_on(void)
+isolated_zone_keeps_claiming(void)
 {
     struct enet *n = two_zones();
     char key[KEY_TEXT_SIZE];
     uint64_t with_two;
     uint64_t with_one;
 
-    n->opts.filter = all_cut;
+    n->opts.filter = drop_all;
     for (int i = 0; i < n->n_nodes; i++) {
         for (int j = 0; j < n->n_nodes; j++) {
-            cut[i][j] = i / VOTERS != j / VOTERS;
+            drop_link[i][j] = i / VOTERS != j / VOTERS;
         }
     }
     enet_kill(n, 2);
@@ -278,8 +282,8 @@
     enet_free(n);
 }
 
-/* A claim and the release that follows it overtake one another, or arrive
- * twice.  A record left behind would block the key for the whole window. */
+/* An attempt without a majority is released.  A record that remains at a voter
+ * would block the key for the rest of the claim window. */
 static void
 released_keys_can_be_claimed_again(void)
 {
@@ -289,12 +293,12 @@
     uint64_t second;
 
     enet_mint_key(n, "z0", 1, 0, key);
-    cut_all_but(NODE_C, 0);
+    drop_links_except(NODE_C, 0);
     first = enet_submit(n, NODE_C, key, 2, 11);
     enet_run(n, SEC);
     CU_ASSERT_TRUE(enet_refused_with(n, first, PROBLEM_NO_CLAIM));
     CU_ASSERT_EQUAL(claims_count(n->nodes[0].e), 0);
-    cut_none();
+    restore_links();
     second = enet_submit(n, NODE_D, key, 2, 11);
     enet_run(n, SEC);
     CU_ASSERT_TRUE(
@@ -302,11 +306,11 @@
     enet_free(n);
 }
 
-/* A claim arrives at a voter long after its claimer gave up, when no release
- * will follow any more.  The claimer gives the unexpected grant back; else the
- * vote would be lost to everybody for the whole window. */
+/* A claim arrives at a voter after its claimer has sent the release.  The
+ * claimer must release the unexpected grant, otherwise the record would block
+ * the key for the rest of the claim window. */
 static void
-late_grants_are_given_back(void)
+late_grants_are_released(void)
 {
     struct enet *n = two_zones();
     struct msg late = {.kind = MSG_CLAIM};
@@ -323,8 +327,8 @@
     enet_free(n);
 }
 
-/* The release of a lost attempt overtakes nothing and arrives last, after the
- * claimer has won the key with another attempt. */
+/* The release of an earlier attempt arrives after the claimer has won the key
+ * with a later attempt.  It must not remove the record. */
 static void
 old_releases_are_ignored(void)
 {
@@ -344,11 +348,10 @@
     enet_free(n);
 }
 
-/* The network brings a grant twice, the second time after the claim was won.
- * Were it taken for a grant of an attempt that is over, its release would
- * take away a vote that the running job stands on. */
+/* A grant is delivered twice, the second time after the claim was won.  If it
+ * were released like a late grant, the running job would lose the vote. */
 static void
-doubled_grants_keep_the_claim(void)
+duplicate_grants_keep_the_claim(void)
 {
     struct enet *n = two_zones();
     char key[KEY_TEXT_SIZE];
@@ -366,10 +369,10 @@
     enet_free(n);
 }
 
-/* ---- random schedules ---- */
+/* Random schedules */
 
 static int
-random_claimer(struct enet *n)
+random_running_node(struct enet *n)
 {
     for (;;) {
         int i = (int)enet_random(n, (uint64_t)n->n_nodes);
@@ -380,22 +383,23 @@
     }
 }
 
-/* Pauses an instance for up to four seconds. */
+/* Pauses an instance for less than four seconds. */
 static void
 random_pause(struct enet *n)
 {
-    int node = random_claimer(n);
+    int node = random_running_node(n);
 
     enet_pause(n, node, true);
     enet_run(n, (int64_t)enet_random(n, 4000) * MSEC);
     enet_pause(n, node, false);
 }
 
-/* Zones and instances in each: a zone of two borrows its third voter. */
+/* Number of zones, and of instances in each; a zone with fewer than three
+ * instances has voters in other zones. */
 static const struct {
     int zones;
     int per_zone;
-} shapes[] = {{2, 3}, {2, 3}, {3, 2}, {2, 1}, {1, 4}, {1, 2}};
+} layouts[] = {{2, 3}, {2, 3}, {3, 2}, {2, 1}, {1, 4}, {1, 2}};
 
 static void
 random_event(struct enet *n, char keys[KEYS][KEY_TEXT_SIZE])
@@ -404,13 +408,13 @@
     int number = (int)enet_random(n, KEYS);
 
     if (roll < 60) {
-        (void)enet_submit(n, random_claimer(n), keys[number], 1, 11);
+        (void)enet_submit(n, random_running_node(n), keys[number], 1, 11);
     }
     else if (roll < 70) {
-        (void)enet_cancel(n, random_claimer(n), keys[number]);
+        (void)enet_cancel(n, random_running_node(n), keys[number]);
     }
     else if (roll < 85) {
-        enet_restart(n, random_claimer(n) % VOTERS);
+        enet_restart(n, random_running_node(n) % VOTERS);
     }
     else if (roll < 88) {
         random_pause(n);
@@ -420,15 +424,15 @@
     }
 }
 
-/* Voters restart empty one after the other, messages are lost, doubled and
- * overtaken, callers submit the same keys again and again everywhere.  Each
- * task may be started once and each request answered once. */
+/* Voters restart without records, messages are lost, duplicated and reordered,
+ * and the same keys are submitted repeatedly at all instances.  Each task may
+ * be started at most once, and each request must be answered exactly once. */
 static void
 random_schedule(uint64_t seed)
 {
-    size_t shape = seed % (sizeof(shapes) / sizeof(shapes[0]));
-    struct enet_options o = {.zones = shapes[shape].zones,
-                             .per_zone = shapes[shape].per_zone,
+    size_t layout = seed % (sizeof(layouts) / sizeof(layouts[0]));
+    struct enet_options o = {.zones = layouts[layout].zones,
+                             .per_zone = layouts[layout].per_zone,
                              .seed = seed,
                              .new_region = true,
                              .run_us = 20 * MSEC,
@@ -470,22 +474,22 @@
 {
     check_add("claim", "grant_of_restarted_voter_does_not_count",
               grant_of_restarted_voter_does_not_count);
-    check_add("claim", "restart_is_learnt_from_another_voter",
-              restart_is_learnt_from_another_voter);
-    check_add("claim", "late_grants_are_given_back",
-              late_grants_are_given_back);
+    check_add("claim", "restart_is_reported_by_another_voter",
+              restart_is_reported_by_another_voter);
+    check_add("claim", "late_grants_are_released", late_grants_are_released);
     check_add("claim", "old_releases_are_ignored", old_releases_are_ignored);
-    check_add("claim", "restarted_voter_knows_live_claims",
-              restarted_voter_knows_live_claims);
+    check_add("claim", "restarted_voter_copies_live_claims",
+              restarted_voter_copies_live_claims);
     check_add("claim", "two_voters_restart_at_once",
               two_voters_restart_at_once);
-    check_add("claim", "split_votes_are_settled", split_votes_are_settled);
-    check_add("claim", "split_votes_with_a_dead_voter",
-              split_votes_with_a_dead_voter);
-    check_add("claim", "cut_off_zone_goes_on", cut_off_zone_goes_on);
+    check_add("claim", "split_votes_are_resolved", split_votes_are_resolved);
+    check_add("claim", "split_votes_with_a_voter_down",
+              split_votes_with_a_voter_down);
+    check_add("claim", "isolated_zone_keeps_claiming",
+              isolated_zone_keeps_claiming);
     check_add("claim", "released_keys_can_be_claimed_again",
               released_keys_can_be_claimed_again);
-    check_add("claim", "doubled_grants_keep_the_claim",
-              doubled_grants_keep_the_claim);
+    check_add("claim", "duplicate_grants_keep_the_claim",
+              duplicate_grants_keep_the_claim);
     check_add("claim", "random_schedules", random_schedules);
 }
--- a/tests/dispatch_test.c
+++ b/tests/dispatch_test.c
@@ -1,4 +1,4 @@
-/* Starts, the proof of their ends, retries, admission and order. */
+/* Starts and their outcomes, retries, admission and queue order. */
 #include <stdlib.h>
 
 #include "check.h"
@@ -42,11 +42,11 @@
     one_free(o);
 }
 
-/* An upstream with 3 connections and 4 slots would refuse a fourth start, and
- * with all three in use nobody could ask it anything.  A user would see jobs
- * that hang until their deadline. */
+/* An upstream with 3 connections and 4 slots would refuse a fourth start.  One
+ * connection must stay free for control requests; otherwise lost starts could
+ * not be queried and their jobs would hang until the deadline. */
 static void
-connections_bound_the_starts(void)
+connections_limit_starts(void)
 {
     struct one *o = one_with(0, &(struct one_options){0});
     struct rec_upstream_info info = one_upstream_info("u");
@@ -59,11 +59,10 @@
     one_free(o);
 }
 
-/* The upstream fills up or begins to leave just while it is picked, and says
- * that it did not start the task.  The task must go elsewhere at once, and the
- * caller must not notice. */
+/* An upstream refuses a start, for instance because it is full or is leaving.
+ * The task must be started on another upstream at once. */
 static void
-refused_start_goes_elsewhere(void)
+refused_start_is_retried_elsewhere(void)
 {
     struct one *o = one_with(2, &(struct one_options){0});
     uint64_t request = one_submit(o, "a", 1, RUN_US);
@@ -78,12 +77,11 @@
     one_free(o);
 }
 
-/* Nothing listens any more where the upstreams were.  Each start comes back at
- * once and could be sent again for ever, by every instance, just when the
- * machines that are left have most to do.  Past the budget the job fails, and
- * its tasks are truly not run. */
+/* All upstreams refuse connections, so every start fails at once and could be
+ * retried without end.  Once the retry budget is spent the job must fail, and
+ * no task may be reported as run. */
 static void
-retries_have_a_budget(void)
+retries_are_limited(void)
 {
     struct one *o = one_with(3, &(struct one_options){0});
     uint64_t request = one_submit(o, "a", 200, RUN_US);
@@ -115,12 +113,11 @@
     one_free(o);
 }
 
-/* A connection goes silent after the start was sent.  The task may have been
- * started or not; if it were simply sent again, a request that must run once
- * could run twice.  It is asked for by its identity, and only the upstream's
- * word that it never started lets it be placed again. */
+/* A connection is lost after the start was sent, so the task may have been
+ * started.  If the start were repeated, the task could run twice.  It may be
+ * started again only after the upstream has reported that it never started. */
 static void
-lost_start_needs_proof(void)
+lost_start_is_retried_only_with_proof(void)
 {
     struct one *o = one_with(2, &(struct one_options){0});
     uint64_t request = one_submit(o, "a", 1, RUN_US);
@@ -136,10 +133,10 @@
     one_free(o);
 }
 
-/* The silent task is still running, so it is asked for again, ever more
- * rarely, until its result is there. */
+/* A task whose start was lost is still running, so the upstream is queried
+ * again until it reports the result. */
 static void
-lost_start_that_runs_is_asked_again(void)
+lost_start_that_runs_is_queried_again(void)
 {
     struct one *o = one_with(1, &(struct one_options){0});
     uint64_t request = one_submit(o, "a", 1, RUN_US);
@@ -157,11 +154,11 @@
     one_free(o);
 }
 
-/* The upstream restarted while a task was on it: the new process cannot know
- * what the old one did.  The caller is told "unknown", not "not run", and the
- * task is never started again. */
+/* The upstream restarts while a task runs there, and the new incarnation
+ * cannot report the outcome.  The task must be reported as unknown, not as not
+ * run, and must not be started again. */
 static void
-other_incarnation_leaves_it_unknown(void)
+restarted_upstream_leaves_outcome_unknown(void)
 {
     struct one *o = one_with(2, &(struct one_options){0});
     uint64_t request = one_submit(o, "a", 1, RUN_US);
@@ -176,12 +173,12 @@
     one_free(o);
 }
 
-/* Declared and learned run times are long, the job's deadline is near, and the
- * connection goes silent under a task that is soon done.  Asked for only after
- * the deadline, the upstream's result comes too late, and the caller is told
- * that the outcome of a finished task is unknown. */
+/* The expected run times are long and the job's deadline is near.  If a lost
+ * start were queried only after the deadline, a finished task would be
+ * reported as unknown.  The time-out of a start must therefore leave time for
+ * the query. */
 static void
-silence_is_questioned_before_the_deadline(void)
+lost_start_is_queried_before_the_deadline(void)
 {
     struct one *o =
         one_with(1, &(struct one_options){.deadline_us = 4 * USEC_PER_SEC});
@@ -197,10 +194,10 @@
     one_free(o);
 }
 
-/* The same, found out by the new incarnation's announcement under the old
- * name, while the old connection is still silent. */
+/* A new incarnation of an upstream is announced while starts are in flight.
+ * The outcome of these starts must be queried, and nothing may be started. */
 static void
-replaced_upstream_is_asked(void)
+replaced_upstream_is_queried(void)
 {
     struct one *o = one_with(1, &(struct one_options){0});
     struct rec_upstream_info info = one_upstream_info("u0");
@@ -215,10 +212,10 @@
     one_free(o);
 }
 
-/* The upstream is gone for good: nobody answers for the task.  The job may not
- * wait for ever, and its slot may not be lost to others for ever. */
+/* The upstream of a lost start stays unreachable.  The job must fail at its
+ * deadline, and the slot must become free. */
 static void
-unreachable_ends_at_the_deadline(void)
+unreachable_upstream_fails_at_deadline(void)
 {
     struct one *o = one_with(1, &(struct one_options){0});
     uint64_t request = one_submit(o, "a", 1, RUN_US);
@@ -245,11 +242,10 @@
     one_free(o);
 }
 
-/* An answer comes twice, or after its job has ended, or with a number that
- * nobody gave out.  Counted as another task's result it would give somebody a
- * wrong answer. */
+/* Outcomes that arrive twice or with an unknown call number must be dropped.
+ * Counted as the result of another task, they would give a wrong answer. */
 static void
-doubled_outcomes_are_dropped(void)
+duplicate_outcomes_are_dropped(void)
 {
     struct one *o = one_with(1, &(struct one_options){0});
     uint64_t request = one_submit(o, "a", 2, RUN_US);
@@ -266,11 +262,11 @@
     one_free(o);
 }
 
-/* A ferry is cancelled and every couple cancels at once.  What is still queued
- * must go without a message to anybody; what was sent keeps its slot until it
- * ends, or the next job's tasks would be refused by a full upstream. */
+/* A cancelled job's queued tasks must be dropped without messages.  Its starts
+ * in flight must keep their slots until they end, otherwise the next job's
+ * tasks would be refused by a full upstream. */
 static void
-cancel_wave_sends_nothing(void)
+cancel_sends_no_messages(void)
 {
     struct one *o = one_with(6, &(struct one_options){.peers = 1});
     size_t started;
@@ -281,7 +277,7 @@
     one_clear(o);
     one_cancel(o, "a");
     CU_ASSERT_EQUAL(one_count_effects(o, EF_REVOKE), 0);
-    CU_ASSERT(one_count_effects(o, EF_SEND) <= 1); /* its request for slots */
+    CU_ASSERT(one_count_effects(o, EF_SEND) <= 1); /* a request for slots */
     CU_ASSERT_EQUAL(entry_gauges(o->e).tasks_queued, 0);
     CU_ASSERT_EQUAL(entry_gauges(o->e).tasks_running, started);
     (void)one_submit(o, "b", 1, RUN_US);
@@ -312,12 +308,11 @@
     one_free(o);
 }
 
-/* Only another zone has upstreams large enough.  Their names are not known
- * here, but heartbeats tell the largest sizes: a task that fits there waits
- * for slots, one that fits nowhere is refused at once and not at its deadline.
- */
+/* Only another zone has large enough upstreams; its heartbeats carry the
+ * largest resources.  A task that fits there must wait for slots; a task that
+ * fits nowhere must be refused at once, not at its deadline. */
 static void
-fit_counts_other_zones(void)
+other_zones_count_for_fit(void)
 {
     struct one *o = one_with(
         1, &(struct one_options){.peers = 1, .peers_in_other_zone = true});
@@ -349,11 +344,11 @@
     one_free(o);
 }
 
-/* Ten times as many jobs arrive as can be done.  Taking them all would let
- * nearly all fail at their deadline after part of their work; those that are
- * let in must be answered in time, the rest told at once when to come back. */
+/* Far more jobs arrive than can be run in time.  If all were admitted, nearly
+ * all would fail at their deadlines with part of their tasks run.  Admitted
+ * jobs must complete; the others must be refused at once with a retry time. */
 static void
-burst_is_refused_early(void)
+overload_is_refused_early(void)
 {
     struct one *o =
         one_with(2, &(struct one_options){.deadline_us = 4 * USEC_PER_SEC});
@@ -382,10 +377,11 @@
     one_free(o);
 }
 
-/* With the least work first, small jobs pass a large one.  But in a steady
- * stream of them the large one would never come to its turn. */
+/* In least-work-first order small jobs overtake a large one, but a steady
+ * stream of small jobs must not keep the large one waiting until its
+ * deadline. */
 static void
-small_jobs_pass_but_do_not_starve(void)
+small_jobs_do_not_starve_large_jobs(void)
 {
     struct one *o =
         one_with(1, &(struct one_options){.deadline_us = 8 * USEC_PER_SEC});
@@ -418,7 +414,7 @@
 }
 
 static void
-arrival_order_is_kept_where_asked_for(void)
+arrival_order_is_kept_if_configured(void)
 {
     struct one *o = one_with(1, &(struct one_options){.order = ORDER_ARRIVAL});
     struct key_id small = key_id_of("small");
@@ -433,9 +429,9 @@
     one_free(o);
 }
 
-/* A team's limit holds for what runs from here, whatever is free. */
+/* A team's limit on running tasks applies even if more slots are free. */
 static void
-quota_holds_tasks_back(void)
+quota_limits_running_tasks(void)
 {
     struct one *o = one_with(3, &(struct one_options){.slots_max_running = 5});
 
@@ -447,14 +443,14 @@
 }
 
 static void
-quota_paces_starts(void)
+quota_limits_start_rate(void)
 {
     struct one *o = one_with(9, &(struct one_options){.starts_per_s = 10});
-    size_t at_once;
+    size_t n_started;
 
     (void)one_submit(o, "a", 30, RUN_US);
-    at_once = one_count_effects(o, EF_START);
-    CU_ASSERT(at_once >= 1 && at_once <= 3);
+    n_started = one_count_effects(o, EF_START);
+    CU_ASSERT(n_started >= 1 && n_started <= 3);
     one_run(o, USEC_PER_SEC);
     CU_ASSERT(one_count_effects(o, EF_START) >= 9 &&
               one_count_effects(o, EF_START) <= 13);
@@ -467,22 +463,22 @@
 suite_dispatch(void)
 {
     ADD(every_task_starts_once);
-    ADD(connections_bound_the_starts);
-    ADD(refused_start_goes_elsewhere);
-    ADD(retries_have_a_budget);
-    ADD(lost_start_needs_proof);
-    ADD(lost_start_that_runs_is_asked_again);
-    ADD(silence_is_questioned_before_the_deadline);
-    ADD(other_incarnation_leaves_it_unknown);
-    ADD(replaced_upstream_is_asked);
-    ADD(unreachable_ends_at_the_deadline);
-    ADD(doubled_outcomes_are_dropped);
-    ADD(cancel_wave_sends_nothing);
+    ADD(connections_limit_starts);
+    ADD(refused_start_is_retried_elsewhere);
+    ADD(retries_are_limited);
+    ADD(lost_start_is_retried_only_with_proof);
+    ADD(lost_start_that_runs_is_queried_again);
+    ADD(lost_start_is_queried_before_the_deadline);
+    ADD(restarted_upstream_leaves_outcome_unknown);
+    ADD(replaced_upstream_is_queried);
+    ADD(unreachable_upstream_fails_at_deadline);
+    ADD(duplicate_outcomes_are_dropped);
+    ADD(cancel_sends_no_messages);
     ADD(never_fits_is_refused_at_once);
-    ADD(fit_counts_other_zones);
-    ADD(burst_is_refused_early);
-    ADD(small_jobs_pass_but_do_not_starve);
-    ADD(arrival_order_is_kept_where_asked_for);
-    ADD(quota_holds_tasks_back);
-    ADD(quota_paces_starts);
+    ADD(other_zones_count_for_fit);
+    ADD(overload_is_refused_early);
+    ADD(small_jobs_do_not_starve_large_jobs);
+    ADD(arrival_order_is_kept_if_configured);
+    ADD(quota_limits_running_tasks);
+    ADD(quota_limits_start_rate);
 }
--- a/tests/jobs_test.c
+++ b/tests/jobs_test.c
@@ -1,4 +1,4 @@
-/* Jobs: from submission to answer, over several instances. */
+/* Jobs: from submission to answer, with several instances. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -52,9 +52,9 @@
            a->answer->tasks[n_tasks - 1].result != NULL;
 }
 
-/* A caller believes its job was lost and submits it again while the first is
- * still running: at the same instance, at another one, in another zone.
- * Each gets the same whole answer, and nothing starts twice. */
+/* A job is resubmitted while it runs and after its end, at the same instance,
+ * at other instances and in another zone.  Every submission must get the same
+ * complete answer, and no task may start twice. */
 static void
 resubmissions_share_one_answer(void)
 {
@@ -81,8 +81,8 @@
     enet_free(n);
 }
 
-/* Two callers use one key for different jobs.  Without the check the second
- * would get the first one's answer and believe its own plots were held. */
+/* Two callers use the same key for different jobs.  Without the check the
+ * second caller would get the answer to the first caller's job. */
 static void
 another_body_is_a_conflict(void)
 {
@@ -106,9 +106,9 @@
     enet_free(n);
 }
 
-/* The instance that runs a job dies while somebody waits at another one.  The
- * waiting caller hears within seconds that the tasks are unknown, and so does
- * whoever submits the job again later.  Nothing is started again. */
+/* The claimer dies while a caller waits at another instance.  The waiting
+ * caller and later submissions must be answered soon that the tasks are
+ * unknown, and no task may be started again. */
 static void
 claimer_dies(void)
 {
@@ -136,8 +136,8 @@
     enet_free(n);
 }
 
-/* The instance that ran a job restarts at once and knows nothing of it.  A
- * resubmission there, and one elsewhere, must not run the tasks again. */
+/* The claimer restarts and no longer knows the job.  Resubmissions there and
+ * at other instances must not run the tasks again. */
 static void
 claimer_restarts(void)
 {
@@ -162,7 +162,7 @@
 }
 
 static void
-asking_for_a_job(void)
+querying_a_job(void)
 {
     struct enet *n = new_net(300 * MSEC);
     uint64_t unknown = enet_get(n, 2, key, true);
@@ -184,23 +184,24 @@
 }
 
 static void
-keep_briefly(struct entry_options *o)
+keep_answers_2_s(struct entry_options *o)
 {
     o->answer_keep_us = 2 * SEC;
     o->claim_window_us = 30 * SEC;
     o->clock_skew_us = SEC;
 }
 
-/* A caller asks again long after the end.  The answer is gone, but not that
- * the key was used; after the window a key says itself that it is too old.
- * Were it simply unknown by then, the job would run a second time. */
+/* A job is resubmitted long after its end.  Its answer is no longer kept, but
+ * the key is still recorded as used; after the claim window the key is refused
+ * by its time of issue.  If the key were unknown, the job would run a second
+ * time. */
 static void
 late_resubmissions(void)
 {
     struct enet *n = new_net(100 * MSEC);
     uint64_t requests[6];
 
-    n->opts.adjust_options = keep_briefly;
+    n->opts.adjust_options = keep_answers_2_s;
     for (int i = 0; i < NODES; i++) {
         enet_restart(n, i);
     }
@@ -234,20 +235,21 @@
 }
 
 static void
-keep_little(struct entry_options *o)
+keep_8000_bytes(struct entry_options *o)
 {
     o->answer_keep_bytes = 8000;
 }
 
-/* Many jobs end within the time that answers are kept.  The oldest answers go
- * first, so that memory stays bounded, but their keys are still known. */
+/* Many jobs end within the time for which answers are kept.  The oldest
+ * answers must be dropped to limit memory, but their keys must remain recorded
+ * as used. */
 static void
-answers_are_bounded(void)
+kept_answers_are_limited(void)
 {
     struct enet *n = new_net(20 * MSEC);
     char keys[20][KEY_TEXT_SIZE];
 
-    n->opts.adjust_options = keep_little;
+    n->opts.adjust_options = keep_8000_bytes;
     enet_restart(n, 1);
     enet_run(n, 12 * SEC);
     for (int i = 0; i < 20; i++) {
@@ -264,8 +266,8 @@
     enet_free(n);
 }
 
-/* A cancel overtakes its submission, at another instance even.  Both callers
- * hear that nothing ran, and nothing does. */
+/* A cancel arrives before its submission, at another instance.  Both must be
+ * answered that no task ran, and no task may run. */
 static void
 cancel_before_submission(void)
 {
@@ -284,8 +286,8 @@
     enet_free(n);
 }
 
-/* A running job is cancelled at another instance. What had not started is
- * not run, what had is unknown, and late outcomes change nothing. */
+/* A running job is cancelled at another instance.  Tasks that were not started
+ * must be reported as not run, started tasks as unknown. */
 static void
 cancel_while_running(void)
 {
@@ -311,10 +313,10 @@
     enet_free(n);
 }
 
-/* A straggler outlives the deadline.  The caller gets a failed answer at the
- * deadline; the straggler's outcome comes later and is dropped. */
+/* Tasks run past the deadline.  The caller must get a failed answer at the
+ * deadline, and the later outcomes must be dropped. */
 static void
-deadline_passes(void)
+tasks_run_past_the_deadline(void)
 {
     struct enet *n = new_net(6 * SEC);
     uint64_t submit = enet_submit(n, 1, key, 4, 11);
@@ -331,14 +333,14 @@
     enet_free(n);
 }
 
-/* An instance is told to stop with jobs in progress, one of them waited for
- * from elsewhere.  They end whole, new ones are refused as not started, and
- * only then does it say that it has stopped. */
+/* A planned stop of the instance that runs a job and of one that waits for the
+ * job.  The job must complete, new jobs must be refused, and the instances may
+ * report that they have stopped only after that. */
 static void
 planned_stop(void)
 {
     struct enet *n = new_net(300 * MSEC);
-    char fresh[KEY_TEXT_SIZE];
+    char other_key[KEY_TEXT_SIZE];
     uint64_t submit = enet_submit(n, 1, key, 4, 11);
     uint64_t elsewhere;
     uint64_t refused;
@@ -348,8 +350,8 @@
     enet_run(n, 10 * MSEC);
     enet_stop(n, 1);
     enet_stop(n, 2);
-    enet_mint_key(n, "z0", 2, 0, fresh);
-    refused = enet_submit(n, 1, fresh, 1, 12);
+    enet_mint_key(n, "z0", 2, 0, other_key);
+    refused = enet_submit(n, 1, other_key, 1, 12);
     CU_ASSERT_TRUE(enet_refused_with(n, refused, PROBLEM_STOPPING));
     CU_ASSERT_TRUE(enet_answer(n, refused)->problem.retry_after_us > 0);
     CU_ASSERT_FALSE(n->nodes[1].stopped || n->nodes[2].stopped);
@@ -360,9 +362,9 @@
     enet_free(n);
 }
 
-/* A process is paused past the claim window, with tasks queued.  By the time
- * it wakes its voters have forgotten the key and the job may run elsewhere;
- * so nothing of it may start any more. */
+/* The claimer is paused past the claim window with tasks queued.  By then the
+ * voters have dropped the claim and the job may run elsewhere, so no further
+ * task may be started. */
 static void
 paused_claimer(void (*tune)(struct entry_options *o))
 {
@@ -402,7 +404,7 @@
 }
 
 static struct job_spec *
-spec_of(const char *service, size_t n_tasks)
+new_spec(const char *service, size_t n_tasks)
 {
     struct job_spec *spec = job_spec_new(n_tasks);
 
@@ -425,37 +427,37 @@
 bad_jobs_are_refused(void)
 {
     struct enet *n = new_net(100 * MSEC);
-    struct job_spec *spec = spec_of("camp", 1);
+    struct job_spec *spec = new_spec("camp", 1);
     char future[KEY_TEXT_SIZE];
 
     spec->deadline_us = 61 * SEC;
     CU_ASSERT_EQUAL(refusal(n, key, spec), PROBLEM_BAD_JOB);
-    CU_ASSERT_EQUAL(refusal(n, key, spec_of("camp", 0)), PROBLEM_BAD_JOB);
-    CU_ASSERT_EQUAL(refusal(n, key, spec_of("camp", JOB_TASKS_MAX + 1)),
+    CU_ASSERT_EQUAL(refusal(n, key, new_spec("camp", 0)), PROBLEM_BAD_JOB);
+    CU_ASSERT_EQUAL(refusal(n, key, new_spec("camp", JOB_TASKS_MAX + 1)),
                     PROBLEM_BAD_JOB);
-    CU_ASSERT_EQUAL(refusal(n, key, spec_of("cake", 1)),
+    CU_ASSERT_EQUAL(refusal(n, key, new_spec("cake", 1)),
                     PROBLEM_UNKNOWN_SERVICE);
-    CU_ASSERT_EQUAL(refusal(n, "a b", spec_of("camp", 1)), PROBLEM_BAD_KEY);
+    CU_ASSERT_EQUAL(refusal(n, "a b", new_spec("camp", 1)), PROBLEM_BAD_KEY);
     enet_mint_key(n, "z0", 9, -10 * SEC, future);
-    CU_ASSERT_EQUAL(refusal(n, future, spec_of("camp", 1)), PROBLEM_BAD_KEY);
+    CU_ASSERT_EQUAL(refusal(n, future, new_spec("camp", 1)), PROBLEM_BAD_KEY);
     enet_mint_key(n, "z7", 9, 0, future);
-    CU_ASSERT_EQUAL(refusal(n, future, spec_of("camp", 1)), PROBLEM_BAD_KEY);
+    CU_ASSERT_EQUAL(refusal(n, future, new_spec("camp", 1)), PROBLEM_BAD_KEY);
     enet_mint_key(n, "z0", 9, 700 * SEC, future);
-    CU_ASSERT_EQUAL(refusal(n, future, spec_of("camp", 1)),
+    CU_ASSERT_EQUAL(refusal(n, future, new_spec("camp", 1)),
                     PROBLEM_KEY_TOO_OLD);
     CU_ASSERT_EQUAL(n->n_starts, 0);
     CU_ASSERT_EQUAL(jobs_count_active(n->nodes[1].e), 0);
     enet_free(n);
 }
 
-/* A job that no upstream can ever run is refused after its claim; the claim
- * is given back, so that the caller may submit a smaller one under the same
- * key.  The refusal says not run, which is a fact here. */
+/* A job that no upstream can ever run is refused after its claim.  The claim
+ * must be released, so that the key can be used for a smaller job, and the
+ * refusal must say that the job did not run. */
 static void
 refused_after_claim(void)
 {
     struct enet *n = new_net(100 * MSEC);
-    struct job_spec *spec = spec_of("camp", 1);
+    struct job_spec *spec = new_spec("camp", 1);
     uint64_t request;
     uint64_t again;
 
@@ -478,7 +480,7 @@
 asynchronous_submission(void)
 {
     struct enet *n = new_net(300 * MSEC);
-    uint64_t accepted = enet_submit_spec(n, 1, key, spec_of("camp", 2), true);
+    uint64_t accepted = enet_submit_spec(n, 1, key, new_spec("camp", 2), true);
     uint64_t get;
 
     enet_run(n, 20 * MSEC);
@@ -491,10 +493,10 @@
     enet_free(n);
 }
 
-/* A caller hangs up.  The job goes on and its answer is there for the next
- * one who asks; nobody is answered on the request that is gone. */
+/* A caller disconnects.  The job must go on and its answer must be kept for
+ * later requests; the closed request must get no answer. */
 static void
-caller_hangs_up(void)
+caller_disconnects(void)
 {
     struct enet *n = new_net(300 * MSEC);
     uint64_t submit = enet_submit(n, 1, key, 2, 11);
@@ -512,11 +514,12 @@
     enet_free(n);
 }
 
-/* The connection to the claimer breaks with the question under way, and later
- * with the answer.  Without asking again the caller would wait for nothing
- * until its deadline, though the job is done. */
+/* Drops the first JOB_WAIT and the first JOB_ANSWER.  If the wait were not
+ * repeated, the caller would get no answer until its deadline although the job
+ * has ended. */
 static enum enet_delivery
-lose_waits(struct enet *n, int from, int to, const struct msg *m)
+drop_first_wait_and_answer(struct enet *n, int from, int to,
+                           const struct msg *m)
 {
     (void)from;
     (void)to;
@@ -527,12 +530,12 @@
 }
 
 static void
-waits_are_asked_again(void)
+lost_waits_are_repeated(void)
 {
     struct enet *n = new_net(300 * MSEC);
     uint64_t again;
 
-    n->opts.filter = lose_waits;
+    n->opts.filter = drop_first_wait_and_answer;
     (void)enet_submit(n, 1, key, 2, 11);
     enet_run(n, 50 * MSEC);
     again = enet_submit(n, OTHER_ZONE, key, 2, 11);
@@ -542,7 +545,7 @@
 }
 
 static enum enet_delivery
-lose_answers(struct enet *n, int from, int to, const struct msg *m)
+drop_answers(struct enet *n, int from, int to, const struct msg *m)
 {
     (void)n;
     (void)from;
@@ -550,9 +553,8 @@
     return m->kind == MSG_JOB_ANSWER ? ENET_DROP : ENET_DELIVER;
 }
 
-/* The claimer's answers never arrive, though it is up and hears us.  The
- * caller must not wait past its deadline; who only asks hears that the job
- * runs, as far as this instance can tell. */
+/* The claimer is up, but its answers never arrive.  A submission must fail at
+ * its deadline; a query must be answered that the job is running. */
 static void
 claimer_never_answers(void)
 {
@@ -560,7 +562,7 @@
     uint64_t again;
     uint64_t get;
 
-    n->opts.filter = lose_answers;
+    n->opts.filter = drop_answers;
     (void)enet_submit(n, 1, key, 2, 11);
     enet_run(n, 50 * MSEC);
     again = enet_submit(n, OTHER_ZONE, key, 2, 11);
@@ -586,7 +588,7 @@
 }
 
 static void
-decisions_are_explained(void)
+explain_lists_decisions(void)
 {
     struct enet *n = new_net(300 * MSEC);
     const struct enet_answer *a;
@@ -598,7 +600,7 @@
     CU_ASSERT_EQUAL_FATAL(a->kind, EF_TEXT);
     CU_ASSERT_EQUAL(count_text(a->text, "\"claim-won\""), 1);
     CU_ASSERT_EQUAL(count_text(a->text, "\"started\""), 15);
-    /* The claim and every start were noted, 16 of them are kept. */
+    /* The claim and all starts were recorded; 16 decisions are kept. */
     (void)snprintf(left_out, sizeof(left_out), "\"left_out\": %d",
                    1 + enet_count_starts(n, key, ENET_ALL_TASKS) - 16);
     CU_ASSERT_EQUAL(count_text(a->text, left_out), 1);
@@ -619,7 +621,7 @@
     struct msg m = {.kind = (enum msg_kind)enet_random(n, MSG_KINDS)};
     unsigned char *bytes = (unsigned char *)&m.u;
 
-    /* Numbers and names; arrays stay empty, as no decoder makes them wild. */
+    /* Only numbers and names are random: a decoded array is always valid. */
     for (size_t i = 0; i < sizeof(struct key_id); i++) {
         bytes[i] = (unsigned char)enet_random(n, 256);
     }
@@ -655,11 +657,11 @@
     return m;
 }
 
-/* A stranger, or a peer gone wrong, sends fields that make no sense: unknown
- * zones, pages far past the end, outcomes nobody defined.  They are counted
- * and the running job is not disturbed. */
+/* Unknown senders and peers send invalid fields: unknown zones, pages past the
+ * end, undefined outcomes.  The messages must be counted as bad and must not
+ * affect the running job. */
 static void
-hostile_messages(void)
+invalid_messages_are_ignored(void)
 {
     static const char *const senders[] = {"z0-e0", "z1-e2", "stranger"};
     struct enet *n = new_net(300 * MSEC);
@@ -686,21 +688,23 @@
               another_body_is_a_conflict);
     check_add("jobs", "claimer_dies", claimer_dies);
     check_add("jobs", "claimer_restarts", claimer_restarts);
-    check_add("jobs", "asking_for_a_job", asking_for_a_job);
+    check_add("jobs", "querying_a_job", querying_a_job);
     check_add("jobs", "late_resubmissions", late_resubmissions);
-    check_add("jobs", "answers_are_bounded", answers_are_bounded);
+    check_add("jobs", "kept_answers_are_limited", kept_answers_are_limited);
     check_add("jobs", "cancel_before_submission", cancel_before_submission);
     check_add("jobs", "cancel_while_running", cancel_while_running);
-    check_add("jobs", "deadline_passes", deadline_passes);
+    check_add("jobs", "tasks_run_past_the_deadline",
+              tasks_run_past_the_deadline);
     check_add("jobs", "planned_stop", planned_stop);
     check_add("jobs", "paused_claimer_starts_nothing",
               paused_claimer_starts_nothing);
     check_add("jobs", "bad_jobs_are_refused", bad_jobs_are_refused);
     check_add("jobs", "refused_after_claim", refused_after_claim);
     check_add("jobs", "asynchronous_submission", asynchronous_submission);
-    check_add("jobs", "caller_hangs_up", caller_hangs_up);
-    check_add("jobs", "waits_are_asked_again", waits_are_asked_again);
+    check_add("jobs", "caller_disconnects", caller_disconnects);
+    check_add("jobs", "lost_waits_are_repeated", lost_waits_are_repeated);
     check_add("jobs", "claimer_never_answers", claimer_never_answers);
-    check_add("jobs", "decisions_are_explained", decisions_are_explained);
-    check_add("jobs", "hostile_messages", hostile_messages);
+    check_add("jobs", "explain_lists_decisions", explain_lists_decisions);
+    check_add("jobs", "invalid_messages_are_ignored",
+              invalid_messages_are_ignored);
 }
