--- a/src/admit.c
+++ b/src/admit.c
@@ -182,8 +182,8 @@
 }
 
 static enum fit
-fit_of(const struct entry *e, const struct service_state *s,
-       struct resources need)
+find_fit(const struct entry *e, const struct service_state *s,
+         struct resources need)
 {
     const struct upstream *u;
     uint32_t at = 0;
@@ -235,7 +235,7 @@
         if (last_fit != NULL && resources_fit(*need, *last_fit)) {
             continue;
         }
-        fit = fit_of(e, s, *need);
+        fit = find_fit(e, s, *need);
         if (fit == FIT_SOME) {
             last_fit = need;
             continue;
--- a/src/claim_sync.c
+++ b/src/claim_sync.c
@@ -24,14 +24,14 @@
 
 static void
 send_page_request(struct entry *e, struct name zone,
-                  const struct peer_voter *f)
+                  const struct peer_voter *p)
 {
     struct msg m = {.kind = MSG_SYNC_REQUEST};
 
     m.u.sync_request.zone = zone;
     m.u.sync_request.incarnation = e->opts.incarnation;
-    m.u.sync_request.page = f->next_page;
-    entry_send(e, f->name, &m);
+    m.u.sync_request.page = p->next_page;
+    entry_send(e, p->name, &m);
 }
 
 static void
@@ -162,9 +162,9 @@
 }
 
 static void
-mark_synced(struct entry *e, struct zone_voter *v, struct peer_voter *f)
+mark_synced(struct entry *e, struct zone_voter *v, struct peer_voter *p)
 {
-    f->synced = true;
+    p->synced = true;
     for (size_t i = 0; i < v->n_peers; i++) {
         if (!v->peers[i].synced) {
             return;
@@ -176,14 +176,14 @@
 /* Pages of different incarnations of the sender are not combined: the later
  * incarnation may lack records that were in the earlier pages. */
 static bool
-is_expected_page(struct peer_voter *f, const struct rec_sync_reply *m)
+is_expected_page(struct peer_voter *p, const struct rec_sync_reply *m)
 {
-    if (m->incarnation != f->incarnation) {
-        f->incarnation = m->incarnation;
-        f->next_page = 0;
-        f->synced = false;
+    if (m->incarnation != p->incarnation) {
+        p->incarnation = m->incarnation;
+        p->next_page = 0;
+        p->synced = false;
     }
-    return m->page == f->next_page && !f->synced;
+    return m->page == p->next_page && !p->synced;
 }
 
 bool
@@ -191,15 +191,15 @@
                     const struct rec_sync_reply *m)
 {
     struct zone_voter *v = vote_zone_voter(e, m->zone);
-    struct peer_voter *f = find_peer_voter(v, from);
+    struct peer_voter *p = find_peer_voter(v, from);
     bool valid = true;
 
-    if (f == NULL ||
+    if (p == NULL ||
         !members_mark_seen(e, members_by_name(e, from), m->incarnation)) {
         return false;
     }
     if (v->ready || m->ready == 0 ||
-        m->for_incarnation != e->opts.incarnation || !is_expected_page(f, m)) {
+        m->for_incarnation != e->opts.incarnation || !is_expected_page(p, m)) {
         return true;
     }
     for (size_t i = 0; i < m->n_claims; i++) {
@@ -207,11 +207,11 @@
             store_copy(e, vote_zone_index(e, m->zone), &m->claims[i]) && valid;
     }
     if (m->more != 0) {
-        f->next_page++;
-        send_page_request(e, m->zone, f);
+        p->next_page++;
+        send_page_request(e, m->zone, p);
     }
     else if (valid) {
-        mark_synced(e, v, f);
+        mark_synced(e, v, p);
     }
     return valid;
 }
@@ -220,10 +220,10 @@
 send_page_requests(struct entry *e, struct name zone, struct zone_voter *v)
 {
     for (size_t i = 0; i < v->n_peers; i++) {
-        struct peer_voter *f = &v->peers[i];
+        struct peer_voter *p = &v->peers[i];
 
-        if (!f->synced && members_by_name(e, f->name)->up) {
-            send_page_request(e, zone, f);
+        if (!p->synced && members_by_name(e, p->name)->up) {
+            send_page_request(e, zone, p);
         }
     }
 }
@@ -282,10 +282,10 @@
 
     for (size_t i = 0; i < n; i++) {
         struct zone_voter *v = &e->claims->zone_voters[i];
-        struct peer_voter *f = find_peer_voter(v, member);
+        struct peer_voter *p = find_peer_voter(v, member);
 
-        if (v->is_voter && !v->ready && f != NULL && !f->synced) {
-            send_page_request(e, zones[i], f);
+        if (v->is_voter && !v->ready && p != NULL && !p->synced) {
+            send_page_request(e, zones[i], p);
         }
     }
 }
--- a/src/dispatch.c
+++ b/src/dispatch.c
@@ -106,21 +106,21 @@
 }
 
 static bool
-in_use(const struct entry *e, const struct service_state *s)
+service_in_use(const struct entry *e, const struct service_state *s)
 {
     return s->conf != NULL || s->n_upstreams > 0 || s->n_jobs > 0 ||
            s->n_running > 0 || s->pool.n_places > 0 ||
            borrow_has_pending(e, s);
 }
 
-/** sweep() - frees records of unused services
+/** sweep_services() - frees records of unused services
  *
  * Upstreams and other instances may send any service name, and each new name
  * creates a record, so memory would grow without bound.  The threshold doubles
  * with the number of records kept, which makes the cost per record constant.
  * Must be called when no pointer to an unused service is held. */
 static void
-sweep(struct entry *e)
+sweep_services(struct entry *e)
 {
     struct dispatch *d = e->dispatch;
     size_t kept = 0;
@@ -131,7 +131,7 @@
     for (size_t i = 0; i < d->n_services; i++) {
         struct service_state *s = d->services[i];
 
-        if (in_use(e, s)) {
+        if (service_in_use(e, s)) {
             d->services[kept++] = s;
         }
         else {
@@ -386,7 +386,8 @@
 enum served { SERVED, NO_PLACE, NO_QUOTA };
 
 static void
-start_next(struct entry *e, struct job *job, struct queued *q, struct place *p)
+start_next_task(struct entry *e, struct job *job, struct queued *q,
+                struct place *p)
 {
     uint32_t index = pop_task(e, job);
 
@@ -418,17 +419,17 @@
         if (p == NULL) {
             return NO_PLACE;
         }
-        start_next(e, job, q, p);
+        start_next_task(e, job, q, p);
     }
     return SERVED;
 }
 
-/** serve() - starts queued tasks in queue order
+/** serve_queue() - starts queued tasks in queue order
  *
  * Up to SKIPPED_MAX jobs whose next task fits no place now are passed over, so
  * that one job with unusual needs does not block the queue. */
 static enum served
-serve(struct entry *e, struct service_state *s)
+serve_queue(struct entry *e, struct service_state *s)
 {
     struct queued *skipped[SKIPPED_MAX];
     size_t n_skipped = 0;
@@ -459,7 +460,7 @@
 static void
 serve_service(struct entry *e, struct service_state *s)
 {
-    enum served end = serve(e, s);
+    enum served end = serve_queue(e, s);
 
     if (e->opts.placement != PLACE_HOLDER) {
         return;
@@ -483,7 +484,7 @@
 {
     struct dispatch *d = e->dispatch;
 
-    sweep(e);
+    sweep_services(e);
     if (!d->dirty) {
         return;
     }
--- a/src/place.c
+++ b/src/place.c
@@ -99,7 +99,7 @@
 /* Lists by level */
 
 static uint8_t
-level_of(const struct entry *e, const struct place *p)
+compute_level(const struct entry *e, const struct place *p)
 {
     const struct upstream *u = p->upstream;
     uint32_t level = 0;
@@ -122,7 +122,7 @@
 }
 
 static void
-unlist(struct place *p)
+list_remove(struct place *p)
 {
     struct pool *pool = p->pool;
 
@@ -171,9 +171,9 @@
 {
     uint32_t n = place_free_slots(e, p);
 
-    unlist(p);
+    list_remove(p);
     if (n > 0) {
-        list_append(p, level_of(e, p));
+        list_append(p, compute_level(e, p));
     }
     if (place_is_own(p)) {
         p->pool->own_free_slots += n - p->counted_free;
@@ -232,7 +232,7 @@
 void
 pool_remove(struct pool *pool, struct place *p)
 {
-    unlist(p);
+    list_remove(p);
     pool->own_free_slots -= p->counted_free;
     p->counted_free = 0;
     pool->all_places[p->pool_index] = pool->all_places[--pool->n_places];
--- a/src/vote.c
+++ b/src/vote.c
@@ -83,7 +83,7 @@
 }
 
 static void
-vote_record_remove(struct claims *c, struct claim *r)
+remove_record(struct claims *c, struct claim *r)
 {
     (void)map_remove(&c->records_by_key, &r->id);
     table_remove(&c->records, r->self);
@@ -95,7 +95,7 @@
     struct claim *r = map_get(&e->claims->records_by_key, &id);
 
     if (r != NULL && r->expires_us <= e->now.wall_us) {
-        vote_record_remove(e->claims, r);
+        remove_record(e->claims, r);
         return NULL;
     }
     return r;
@@ -318,7 +318,7 @@
     if (r != NULL && !r->contested &&
         r->claimer_index == members_index(e, claimer) &&
         r->incarnation == m->incarnation && r->attempt <= m->attempt) {
-        vote_record_remove(e->claims, r);
+        remove_record(e->claims, r);
     }
     return true;
 }
@@ -338,7 +338,7 @@
             break;
         }
         if (r->expires_us <= e->now.wall_us) {
-            vote_record_remove(c, r);
+            remove_record(c, r);
         }
     }
     c->sweep_due_us = e->now.mono_us + USEC_PER_SEC;
