--- a/src/claim.c
+++ b/src/claim.c
@@ -37,12 +37,12 @@
     uint64_t digest;
     enum claim_purpose purpose;
     bool find;        /* look up only, do not claim */
-    bool backing_off; /* backing off after a split vote */
+    bool backing_off; /* after a split vote */
     int rounds;       /* split votes so far */
     int64_t started_us;
     int64_t due_us;
     struct voter_request
-        requests[VOTERS_PER_ZONE]; /* in the order of requests */
+        requests[VOTERS_PER_ZONE]; /* in the order of sending */
     size_t n_requests;
 };
 
--- a/src/effect.h
+++ b/src/effect.h
@@ -16,17 +16,17 @@
 /* clang-format off */
 #define EFFECT_LIST(EFFECT)                                                   \
     EFFECT(ANSWER, answer, "give a caller the whole answer")                  \
-    EFFECT(ACCEPTED, accepted, "tell a caller the job is running")            \
+    EFFECT(ACCEPTED, accepted, "reply that a job was accepted")               \
     EFFECT(PROBLEM, problem, "refuse a request")                              \
     EFFECT(KEYS, keys, "give a caller a block of keys")                       \
     EFFECT(ANNOUNCED, announced, "answer an upstream's announcement")         \
     EFFECT(TEXT, text, "answer an operator with JSON text")                   \
     EFFECT(START, start, "start a task on an upstream")                       \
-    EFFECT(REVOKE, revoke, "ask an upstream for a task")                      \
+    EFFECT(REVOKE, revoke, "revoke a task or query its outcome")              \
     EFFECT(FENCE, fence, "take over an upstream under a new epoch")           \
     EFFECT(SEND, send, "send a message to an instance")                       \
     EFFECT(LOG, log, "log a decision")                                        \
-    EFFECT(STOPPED, none, "nothing is in progress any more")
+    EFFECT(STOPPED, none, "report that no work is in progress")
 /* clang-format on */
 
 enum effect_kind {
--- a/src/entry_state.h
+++ b/src/entry_state.h
@@ -54,8 +54,7 @@
     uint64_t random;       /* generator state of entry_random() */
     uint64_t last_call_id; /* see entry_new_call_id() */
     int64_t last_step_us;
-    int64_t
-        refuse_bare_until_us; /* monotonic: bare keys are refused until then */
+    int64_t refuse_bare_until_us; /* monotonic; concerns bare keys */
     struct entry_counters counters;
     struct members *members;
     struct claims *claims;
--- a/src/event.h
+++ b/src/event.h
@@ -20,21 +20,21 @@
     EVENT(TICK, none, "time has passed")                                      \
     EVENT(CONFIG, config, "a configuration arrived")                          \
     EVENT(SUBMIT, submit, "a caller submits a job")                           \
-    EVENT(JOB_GET, query, "a caller asks for a job")                          \
+    EVENT(JOB_GET, query, "a caller queries a job")                           \
     EVENT(JOB_CANCEL, query, "a caller cancels a job")                        \
-    EVENT(CALLER_GONE, query, "a caller's request ended early")               \
-    EVENT(MINT, mint, "a caller asks for a block of keys")                    \
+    EVENT(CALLER_GONE, query, "a caller closed its request")                  \
+    EVENT(MINT, mint, "a caller requests a block of keys")                    \
     EVENT(ANNOUNCE, announce, "an upstream announces itself")                 \
-    EVENT(LEAVE, announce, "an upstream says it is leaving")                  \
-    EVENT(FENCED, fenced, "an upstream answered a new holder")                \
-    EVENT(TASK_ENDED, ended, "a start came to an end")                        \
-    EVENT(TASK_REVOKED, revoked, "an upstream answered for a task")           \
+    EVENT(LEAVE, announce, "an upstream is leaving")                          \
+    EVENT(FENCED, fenced, "an upstream answered a fence")                     \
+    EVENT(TASK_ENDED, ended, "a start ended")                                 \
+    EVENT(TASK_REVOKED, revoked, "an upstream answered a revoke")             \
     EVENT(MESSAGE, message, "a message from another instance")                \
-    EVENT(PEER_UP, peer, "a connection to an instance is there")              \
-    EVENT(PEER_DOWN, peer, "the connection to an instance is gone")           \
+    EVENT(PEER_UP, peer, "a connection to an instance is open")               \
+    EVENT(PEER_DOWN, peer, "the connection to an instance is closed")         \
     EVENT(DRAIN, drain, "an operator drains an upstream")                     \
-    EVENT(EXPLAIN, query, "an operator asks what was decided for a key")      \
-    EVENT(DUMP, query, "an operator asks for the whole state")                \
+    EVENT(EXPLAIN, query, "an operator queries the decisions on a key")       \
+    EVENT(DUMP, query, "an operator queries the whole state")                 \
     EVENT(STOP, none, "a planned stop begins")
 /* clang-format on */
 
--- a/src/jobs.h
+++ b/src/jobs.h
@@ -87,6 +87,7 @@
 /** jobs_next() - iterates over all jobs; start with *@at = 0 */
 struct job *jobs_next(const struct entry *e, uint32_t *at);
 
+/* Handlers of EV_SUBMIT, EV_JOB_GET, EV_JOB_CANCEL, EV_CALLER_GONE, EV_MINT */
 void jobs_submit(struct entry *e, const struct ev_submit *ev);
 void jobs_get(struct entry *e, const struct ev_query *ev);
 void jobs_cancel(struct entry *e, const struct ev_query *ev);
