--- a/src/claim.c
+++ b/src/claim.c
@@ -473,8 +473,7 @@
         e->counters.claims_yielded++;
         entry_log(e, LOG_INFO, REASON_CLAIM_YIELDED, &a->key.id, -1,
                   members_by_index(e, t->other->claimer)->name,
-                  "%zu votes, the other claimer has %zu", t->grants,
-                  t->other_votes);
+                  "%zu votes, the other has %zu", t->grants, t->other_votes);
         end_taken(e, a, t->other);
         return;
     }
--- a/src/job_peer.c
+++ b/src/job_peer.c
@@ -104,7 +104,7 @@
         return;
     }
     entry_log(e, LOG_INFO, REASON_CLAIM_ELSEWHERE, &job->id, -1, at,
-              "claimer %s stopped; asking its successor", job->claimer.s);
+              "its claimer %s stopped; asks its successor", job->claimer.s);
     job->claimer = at;
     job->claimer_incarnation = incarnation;
     job->at_successor = true;
@@ -181,7 +181,7 @@
     job->claimer_lost_at_us = e->now.mono_us + e->opts.member_timeout_us;
     e->counters.jobs_joined += job->is_query ? 0 : 1;
     entry_log(e, LOG_DEBUG, REASON_CLAIM_ELSEWHERE, &job->id, -1, r->claimer,
-              "waiting for its answer");
+              "waits there");
     waiters_notify_released(e, job);
     job_free_tasks(job);
     job_retry_wait(e, job);
@@ -309,7 +309,7 @@
     }
     a = job_answer_decode(m->status, m->reason, m->tasks, m->n_tasks);
     entry_log(e, LOG_DEBUG, a->reason, &job->id, -1, job->claimer,
-              "answer received");
+              "answered there");
     waiters_answer(e, &e->jobs->waiters_by_request, job, a);
     job_answer_free(a);
     job_remove(e, job);
@@ -320,7 +320,7 @@
 on_wait_released(struct entry *e, struct job *job)
 {
     entry_log(e, LOG_INFO, REASON_CLAIMER_RELEASED, &job->id, -1, job->claimer,
-              "claimer released the key");
+              "it gave the key up");
     if (job->is_query) {
         job_refuse_not_started(e, job, PROBLEM_UNKNOWN_JOB, 0, WAIT_RELEASED,
                                "its claimer gave it up before any start");
--- a/src/start.c
+++ b/src/start.c
@@ -446,7 +446,7 @@
     struct job *job = jobs_by_handle(e, s->job);
 
     entry_log(e, LOG_WARNING, REASON_OUTCOME_LOST, &s->key, (int32_t)s->index,
-              s->name, "incarnation %llu, %u revokes not delivered",
+              s->name, "incarnation %llu, not reached %u times",
               (unsigned long long)s->incarnation, s->failed_revokes);
     if (job != NULL) {
         jobs_fail(e, job, REASON_OUTCOME_LOST);
