--- a/src/broker_health.c
+++ b/src/broker_health.c
@@ -11,7 +11,7 @@
 #include "broker_state.h"
 
 /* In a row: sound runs fail now and then, hardly ever two of them. */
-enum { FAILURES_MAX = 2 };
+enum { QUARANTINE_FAILURES = 2 };
 #define BACKOFF_MIN_US (500 * USEC_PER_MSEC)
 #define BACKOFF_MAX_US (8 * USEC_PER_SEC)
 /* A sample beyond these says more of the task than of the upstream. */
@@ -19,19 +19,20 @@
 static const double SLOWNESS_MAX = 12.0;
 
 static bool
-half_are_out(const struct broker *b)
+quarantine_cap_reached(const struct broker *b)
 {
     const struct broker_upstream *u;
     struct handle h;
     uint32_t at = 0;
     size_t held = 0;
-    size_t out = 0;
+    size_t quarantined = 0;
 
     while ((u = table_next(&b->upstreams, &at, &h)) != NULL) {
         held += u->state == HOLD_OPEN ? 1 : 0;
-        out += u->state == HOLD_OPEN && u->quarantine_until_us > 0 ? 1 : 0;
+        quarantined +=
+            u->state == HOLD_OPEN && u->quarantine_until_us > 0 ? 1 : 0;
     }
-    return 2 * (out + 1) > held;
+    return 2 * (quarantined + 1) > held;
 }
 
 void
@@ -56,8 +57,8 @@
 broker_health_task_failed(struct broker *b, struct broker_upstream *u)
 {
     u->failures++;
-    if (u->failures < FAILURES_MAX ||
-        (u->quarantine_until_us == 0 && half_are_out(b)) ||
+    if (u->failures < QUARANTINE_FAILURES ||
+        (u->quarantine_until_us == 0 && quarantine_cap_reached(b)) ||
         b->opts.disabled[BROKER_FEATURE_FAILING]) {
         return;
     }
--- a/src/broker_hold.c
+++ b/src/broker_hold.c
@@ -16,34 +16,34 @@
 
 /* An upstream that has not answered for so long, and that no registry tells of
  * any more, is forgotten. */
-#define FORGET_US (60 * USEC_PER_SEC)
+#define REMOVE_AFTER_US (60 * USEC_PER_SEC)
 /* Between looks at an upstream that does not answer. */
-#define MUTE_LOOK_US (300 * USEC_PER_MSEC)
+#define UNRESPONSIVE_POLL_US (300 * USEC_PER_MSEC)
 /* The same where a start that was not answered may reach its next life. */
-#define LOST_LOOK_US (20 * USEC_PER_MSEC)
+#define LOST_START_POLL_US (20 * USEC_PER_MSEC)
 /* Between looks at an idle one.  Its clock must be known to a part of a lease:
  * by the drift that is allowed for, 0.2 s are lost in this time. */
-#define IDLE_LOOK_US (10 * USEC_PER_SEC)
+#define IDLE_POLL_US (10 * USEC_PER_SEC)
 /* Looks in a row without answer after which an upstream counts as mute: one
  * that loses a sixteenth of its answers comes to that once in 4,000 looks. */
-enum { MISSES_MAX = 3 };
+enum { MISSED_POLLS_MAX = 3 };
 /* A fence is refused when a clock was set back, or when another broker is
  * taking the upstream too.  It is raised by that much and tried again so many
  * times; the clocks of machines differ by seconds. */
-#define FENCE_STEP (UINT64_C(20000) * FENCE_OWN)
+#define FENCE_RETRY_STEP (UINT64_C(20000) * FENCE_BROKERS)
 /* A fence is a time in milliseconds and this many values for the brokers of a
  * zone; it stays below 2^53, which JSON carries exactly. */
-#define FENCE_OWN UINT64_C(1024)
-enum { FENCED_MAX = 4 };
+#define FENCE_BROKERS UINT64_C(1024)
+enum { FENCE_RETRIES_MAX = 4 };
 
 static struct broker_upstream *
-find(const struct broker *b, struct name name)
+find_upstream(const struct broker *b, struct name name)
 {
     return map_get(&b->upstreams_by_name, &name);
 }
 
 static struct broker_upstream *
-add(struct broker *b, struct name name)
+add_upstream(struct broker *b, struct name name)
 {
     struct handle h;
     struct broker_upstream *u = table_add(&b->upstreams, &h);
@@ -68,19 +68,19 @@
 }
 
 static struct rec_held_upstream
-told_as(const struct broker_upstream *u)
+held_record(const struct broker_upstream *u)
 {
     return (struct rec_held_upstream){
         .upstream = u->name, .held = is_held(u) ? 1 : 0, .fence = u->fence};
 }
 
 static void
-tell_hold(struct broker *b, const struct broker_upstream *u)
+add_hold_update(struct broker *b, const struct broker_upstream *u)
 {
     b->hold_updates =
         array_grow(b->hold_updates, b->n_hold_updates,
                    &b->hold_updates_capacity, sizeof(*b->hold_updates));
-    b->hold_updates[b->n_hold_updates++] = told_as(u);
+    b->hold_updates[b->n_hold_updates++] = held_record(u);
 }
 
 /* Together: a broker that starts takes 32 upstreams in one step, and a message
@@ -120,7 +120,7 @@
     }
     while ((u = table_next(&b->upstreams, &at, &h)) != NULL) {
         if (is_held(u)) {
-            list->upstreams[list->n_upstreams++] = told_as(u);
+            list->upstreams[list->n_upstreams++] = held_record(u);
         }
     }
     broker_send(b, to, &m);
@@ -139,8 +139,8 @@
  * cut off and had no reason to look.  What it starts there would be refused;
  * unnoticed, the upstream would stay idle until something runs into that. */
 static void
-replaced(struct broker *b, struct broker_upstream *u, struct name by,
-         uint64_t fence)
+mark_replaced(struct broker *b, struct broker_upstream *u, struct name by,
+              uint64_t fence)
 {
     broker_log(b, LOG_WARNING, BROKER_UPSTREAM_FENCED, 0, -1, u->name,
                "our fence %llu, that of %s %llu", (unsigned long long)u->fence,
@@ -155,10 +155,10 @@
 {
     for (size_t i = 0; i < h->n_upstreams; i++) {
         const struct rec_held_upstream *r = &h->upstreams[i];
-        struct broker_upstream *u = find(b, r->upstream);
+        struct broker_upstream *u = find_upstream(b, r->upstream);
 
         if (u == NULL) {
-            u = add(b, r->upstream);
+            u = add_upstream(b, r->upstream);
         }
         /* One that was cut off may claim what was taken since. */
         if (r->held != 0 && r->fence >= u->fence) {
@@ -171,7 +171,7 @@
             u->fence = r->fence;
         }
         else if (r->fence > u->fence && u->state != HOLD_LOST) {
-            replaced(b, u, from, r->fence);
+            mark_replaced(b, u, from, r->fence);
         }
         b->review_due = true;
     }
@@ -195,25 +195,26 @@
 
 /* Two brokers that take an upstream in the same millisecond must not come to
  * the same fence: neither would be refused, and each would stop the other's
- * runs as strangers, for ever.  So the lowest bits are the broker's own. */
+ * runs as unknown, for ever.  So the lowest bits are the broker's own. */
 static uint64_t
 next_fence(const struct broker *b, const struct broker_upstream *u)
 {
-    uint64_t own = key_id_of(b->opts.self.s).lo % FENCE_OWN;
+    uint64_t own = key_id_of(b->opts.self.s).lo % FENCE_BROKERS;
     uint64_t wall = (uint64_t)(b->now.wall_us / USEC_PER_MSEC);
-    uint64_t known = u->fence / FENCE_OWN;
+    uint64_t known = u->fence / FENCE_BROKERS;
 
     if (b->opts.breaks[BROKER_BREAK_SAME_FENCE]) {
-        return FENCE_OWN;
+        return FENCE_BROKERS;
     }
-    return (wall > known ? wall : known + 1) * FENCE_OWN + own;
+    return (wall > known ? wall : known + 1) * FENCE_BROKERS + own;
 }
 
 /* Begins to take an upstream, or takes it anew. */
 static void
 take_upstream(struct broker *b, struct broker_upstream *u)
 {
-    u->fence = next_fence(b, u) + (uint64_t)u->fence_retries * FENCE_STEP;
+    u->fence =
+        next_fence(b, u) + (uint64_t)u->fence_retries * FENCE_RETRY_STEP;
     u->state = HOLD_TAKING;
     u->holder = b->opts.self;
     u->last_end = 0;
@@ -225,12 +226,13 @@
     broker_log(b, LOG_INFO, BROKER_UPSTREAM_TAKEN, 0, -1, u->name,
                "fence %llu, life %llu", (unsigned long long)u->fence,
                (unsigned long long)u->born_ms);
-    tell_hold(b, u);
+    add_hold_update(b, u);
 }
 
 /* All that was placed there is over. */
 static void
-drop_tasks(struct broker *b, struct broker_upstream *u, enum broker_reason why)
+expire_tasks(struct broker *b, struct broker_upstream *u,
+             enum broker_reason why)
 {
     while (u->n_tasks > 0) {
         struct placed_task p = u->tasks[u->n_tasks - 1];
@@ -247,7 +249,7 @@
 }
 
 static void
-let_go(struct broker *b, struct broker_upstream *u)
+release_upstream(struct broker *b, struct broker_upstream *u)
 {
     u->state = HOLD_NONE;
     u->holder = name_of("");
@@ -255,7 +257,7 @@
     b->counters.upstreams_released++;
     broker_log(b, LOG_INFO, BROKER_UPSTREAM_RELEASED, 0, -1, u->name,
                "fence %llu", (unsigned long long)u->fence);
-    tell_hold(b, u);
+    add_hold_update(b, u);
 }
 
 /* Whoever has the higher fence may have been right, or may be a broker that
@@ -264,7 +266,7 @@
 void
 hold_on_fenced(struct broker *b, struct broker_upstream *u)
 {
-    if (u->state == HOLD_TAKING && u->fence_retries < FENCED_MAX) {
+    if (u->state == HOLD_TAKING && u->fence_retries < FENCE_RETRIES_MAX) {
         u->fence_retries++;
         take_upstream(b, u);
         return;
@@ -275,7 +277,7 @@
     u->holder = name_of("");
     u->fence_retries = 0;
     u->fenced_view = b->view;
-    tell_hold(b, u);
+    add_hold_update(b, u);
 }
 
 /* The new life knows nothing of the runs before, nor of the fence: a start of
@@ -308,7 +310,7 @@
 {
     /* A task from before the look that it does not list is surely over: its
      * start would meet a higher fence. */
-    drop_tasks(b, u, BROKER_RUN_LAPSED);
+    expire_tasks(b, u, BROKER_RUN_LAPSED);
     u->state = HOLD_OPEN;
     u->fence_retries = 0;
     /* At most, by whoever held it before. */
@@ -320,12 +322,11 @@
 }
 
 void
-hold_on_poll_answer(struct broker *b, struct broker_upstream *u,
-                    bool strangers)
+hold_on_poll_answer(struct broker *b, struct broker_upstream *u, bool unknown)
 {
     u->missed_polls = 0;
-    u->unknown_runs = strangers;
-    if (u->state == HOLD_TAKING && !strangers) {
+    u->unknown_runs = unknown;
+    if (u->state == HOLD_TAKING && !unknown) {
         open_upstream(b, u);
     }
     else if (u->state == HOLD_UNRESPONSIVE) {
@@ -339,7 +340,7 @@
         u->poll_us = b->now.mono_us;
     }
     else {
-        u->poll_us = b->now.mono_us + IDLE_LOOK_US;
+        u->poll_us = b->now.mono_us + IDLE_POLL_US;
     }
 }
 
@@ -347,7 +348,7 @@
 hold_on_poll_failure(struct broker *b, struct broker_upstream *u)
 {
     u->missed_polls++;
-    if (u->state == HOLD_OPEN && u->missed_polls >= MISSES_MAX) {
+    if (u->state == HOLD_OPEN && u->missed_polls >= MISSED_POLLS_MAX) {
         u->state = HOLD_UNRESPONSIVE;
         b->counters.upstreams_muted++;
         broker_log(b, LOG_WARNING, BROKER_UPSTREAM_MUTE, 0, -1, u->name,
@@ -355,23 +356,25 @@
                    u->n_tasks);
     }
     u->poll_us = b->now.mono_us;
-    if (u->state == HOLD_UNRESPONSIVE || u->missed_polls >= MISSES_MAX) {
-        u->poll_us += b->now.mono_us < u->lost_start_until_us ? LOST_LOOK_US
-                                                              : MUTE_LOOK_US;
+    if (u->state == HOLD_UNRESPONSIVE || u->missed_polls >= MISSED_POLLS_MAX) {
+        u->poll_us += b->now.mono_us < u->lost_start_until_us
+                          ? LOST_START_POLL_US
+                          : UNRESPONSIVE_POLL_US;
     }
 }
 
 /* Reports of registries */
 
 static bool
-overtaken(const struct broker_upstream *u, const struct rec_leased_upstream *r)
+is_outdated(const struct broker_upstream *u,
+            const struct rec_leased_upstream *r)
 {
     return r->born_ms < u->born_ms ||
            (r->born_ms == u->born_ms && r->sequence <= u->sequence);
 }
 
 static void
-take_labels(struct broker_upstream *u, const struct rec_leased_upstream *r)
+copy_labels(struct broker_upstream *u, const struct rec_leased_upstream *r)
 {
     u->n_labels = 0;
     for (size_t i = 0; i < r->n_labels && i < UPSTREAM_LABELS_MAX; i++) {
@@ -380,8 +383,8 @@
 }
 
 static void
-take_report(struct broker *b, struct broker_upstream *u,
-            const struct rec_leased_upstream *r)
+apply_report(struct broker *b, struct broker_upstream *u,
+             const struct rec_leased_upstream *r)
 {
     bool leaving = r->leaving != 0 || r->gone != 0;
 
@@ -394,7 +397,7 @@
         (struct resources){.cpu_milli = (uint32_t)r->cpu_milli,
                            .memory_mb = (uint32_t)r->memory_mb,
                            .accelerators = (uint32_t)r->accelerators};
-    take_labels(u, r);
+    copy_labels(u, r);
     if (leaving && !u->leaving) {
         broker_log(b, LOG_NOTICE, BROKER_UPSTREAM_LEAVING, 0, -1, u->name,
                    "%zu tasks there%s", u->n_tasks,
@@ -410,14 +413,14 @@
 {
     for (size_t i = 0; i < r->n_upstreams; i++) {
         const struct rec_leased_upstream *one = &r->upstreams[i];
-        struct broker_upstream *u = find(b, one->upstream);
+        struct broker_upstream *u = find_upstream(b, one->upstream);
         bool known = u != NULL && u->born_ms != 0;
 
         if (u == NULL) {
-            u = add(b, one->upstream);
+            u = add_upstream(b, one->upstream);
         }
         u->last_reported_us = b->now.mono_us;
-        if (known && overtaken(u, one)) {
+        if (known && is_outdated(u, one)) {
             continue;
         }
         if (known && one->born_ms != u->born_ms) {
@@ -429,7 +432,7 @@
                        "%s in %s at %s", one->service.s, one->zone.s,
                        one->address.s);
         }
-        take_report(b, u, one);
+        apply_report(b, u, one);
         b->review_due = true;
     }
 }
@@ -437,7 +440,7 @@
 /* The view */
 
 static bool
-settled(const struct broker *b)
+discovery_done(const struct broker *b)
 {
     /* Not from the start: when everything starts at once, the first word of a
      * registry names only those that found it before us. */
@@ -461,7 +464,7 @@
 /* While a started job has tasks left to start, its upstreams are kept, though
  * they are idle just now. */
 static bool
-needed_by_started(struct broker *b, const struct broker_upstream *u)
+needed_by_started_job(struct broker *b, const struct broker_upstream *u)
 {
     const struct run_job *job;
     struct handle h;
@@ -477,18 +480,19 @@
 }
 
 static void
-review_one(struct broker *b, struct broker_upstream *u, bool ours)
+reassign_upstream(struct broker *b, struct broker_upstream *u, bool ours)
 {
     if (ours && u->state == HOLD_NONE && u->born_ms != 0 && !u->gone &&
-        settled(b) && !held_by_another(b, u) && u->fenced_view != b->view) {
+        discovery_done(b) && !held_by_another(b, u) &&
+        u->fenced_view != b->view) {
         take_upstream(b, u);
         if (b->opts.breaks[BROKER_BREAK_OPEN_UNSEEN]) {
             open_upstream(b, u);
         }
     }
     else if (!ours && is_held(u) && !b->draining && u->n_tasks == 0 &&
-             !u->ack_pending && !needed_by_started(b, u)) {
-        let_go(b, u);
+             !u->ack_pending && !needed_by_started_job(b, u)) {
+        release_upstream(b, u);
     }
 }
 
@@ -508,7 +512,7 @@
 
 /* The upstreams of this zone; returns how many there are. */
 static size_t
-list_zone(struct broker *b, struct assign_item *items)
+list_zone_upstreams(struct broker *b, struct assign_item *items)
 {
     struct broker_upstream *u;
     struct handle h;
@@ -520,7 +524,7 @@
             continue;
         }
         if (!name_equal(u->zone, b->opts.zone)) {
-            review_one(b, u, false);
+            reassign_upstream(b, u, false);
             continue;
         }
         items[n].order_key = u->hash;
@@ -531,7 +535,7 @@
 }
 
 static bool
-is_self(const struct broker *b, size_t holder)
+holder_is_self(const struct broker *b, size_t holder)
 {
     return holder < b->n_holders && b->holders[holder].peer->self;
 }
@@ -546,12 +550,13 @@
         abort();
     }
     peers_update_holders(b);
-    n = list_zone(b, items);
+    n = list_zone_upstreams(b, items);
     if (b->n_holders > 0) {
         assign_holders(items, n, b->n_holders);
     }
     for (size_t i = 0; i < n; i++) {
-        review_one(b, items[i].context, is_self(b, items[i].holder));
+        reassign_upstream(b, items[i].context,
+                          holder_is_self(b, items[i].holder));
     }
     free(items);
 }
@@ -565,8 +570,8 @@
 
     while ((u = table_next(&b->upstreams, &at, &h)) != NULL) {
         if (u->state != HOLD_NONE) {
-            drop_tasks(b, u, BROKER_RUN_LAPSED);
-            let_go(b, u);
+            expire_tasks(b, u, BROKER_RUN_LAPSED);
+            release_upstream(b, u);
         }
     }
 }
@@ -589,7 +594,7 @@
 /* Time */
 
 static void
-forget(struct broker *b, struct broker_upstream *u)
+remove_upstream(struct broker *b, struct broker_upstream *u)
 {
     (void)map_remove(&b->upstreams_by_name, &u->name);
     free(u->tasks);
@@ -597,7 +602,7 @@
 }
 
 static void
-check_lapse(struct broker *b, struct broker_upstream *u)
+check_expiry(struct broker *b, struct broker_upstream *u)
 {
     bool silent = u->state == HOLD_UNRESPONSIVE || u->state == HOLD_LOST ||
                   (u->state == HOLD_TAKING && u->missed_polls > 0);
@@ -605,7 +610,7 @@
     if (!silent || b->now.mono_us < u->leases_end_us) {
         return;
     }
-    drop_tasks(b, u, BROKER_RUN_LAPSED);
+    expire_tasks(b, u, BROKER_RUN_LAPSED);
     if (u->state == HOLD_LOST) {
         u->state = HOLD_NONE;
         b->review_due = true;
@@ -613,18 +618,18 @@
 }
 
 static bool
-forgettable(const struct broker *b, const struct broker_upstream *u)
+is_removable(const struct broker *b, const struct broker_upstream *u)
 {
     /* One that a registry only remembered may never have answered. */
     int64_t since_us = u->clock_us > 0 ? u->clock_us : u->last_reported_us;
-    bool silent = b->now.mono_us - since_us > FORGET_US;
-    bool untold = b->now.mono_us - u->last_reported_us > FORGET_US;
+    bool silent = b->now.mono_us - since_us > REMOVE_AFTER_US;
+    bool unreported = b->now.mono_us - u->last_reported_us > REMOVE_AFTER_US;
 
     if (u->n_tasks > 0 || u->poll != 0) {
         return false;
     }
     /* Of what others hold only registries tell, all of it every 20 s. */
-    if (u->state == HOLD_NONE && untold) {
+    if (u->state == HOLD_NONE && unreported) {
         return true;
     }
     return u->missed_polls > 0 && (u->gone || silent);
@@ -638,9 +643,9 @@
     uint32_t at = 0;
 
     while ((u = table_next(&b->upstreams, &at, &h)) != NULL) {
-        check_lapse(b, u);
-        if (forgettable(b, u)) {
-            forget(b, u);
+        check_expiry(b, u);
+        if (is_removable(b, u)) {
+            remove_upstream(b, u);
             continue;
         }
         if (u->poll == 0 && b->now.mono_us >= u->poll_us) {
@@ -652,7 +657,7 @@
     }
     /* Nothing else may happen when the time to settle is over. */
     if (!b->discovery_over || b->stopping) {
-        b->discovery_over = settled(b);
+        b->discovery_over = discovery_done(b);
         b->review_due = true;
     }
 }
@@ -678,11 +683,11 @@
         }
     }
     if (!b->discovery_over) {
-        int64_t least = b->first_roster_us + b->opts.discovery_min_us;
-        int64_t most = b->started_us + b->opts.discovery_us;
+        int64_t earliest_us = b->first_roster_us + b->opts.discovery_min_us;
+        int64_t latest_us = b->started_us + b->opts.discovery_us;
 
-        least = least > b->now.mono_us ? least : most;
-        next = least < next ? least : next;
+        earliest_us = earliest_us > b->now.mono_us ? earliest_us : latest_us;
+        next = earliest_us < next ? earliest_us : next;
     }
     return next > b->now.mono_us ? next : b->now.mono_us + 1000;
 }
--- a/src/broker_lease.c
+++ b/src/broker_lease.c
@@ -10,11 +10,11 @@
 
 /* A look at upstreams where a run may stand still, or where one is being
  * stopped, is answered after this at the latest. */
-#define QUICK_LOOK_US (50 * USEC_PER_MSEC)
+#define QUICK_POLL_US (50 * USEC_PER_MSEC)
 /* Shortest wait for an answer: some turns of a process that has a quarter of a
  * core and other work. */
-#define ACK_MIN_US (40 * USEC_PER_MSEC)
-enum { ACK_DEVIATIONS = 8 };
+#define ANSWER_TIMEOUT_MIN_US (40 * USEC_PER_MSEC)
+enum { ANSWER_TIMEOUT_DEVIATIONS = 8 };
 struct task_ref
 lease_task_ref(const struct run_job *job, const struct run_task *t)
 {
@@ -29,17 +29,17 @@
 static int64_t
 answer_timeout_us(const struct broker *b)
 {
-    int64_t us = b->ack_mean_us + ACK_DEVIATIONS * b->ack_dev_us;
+    int64_t us = b->ack_mean_us + ANSWER_TIMEOUT_DEVIATIONS * b->ack_dev_us;
 
     if (b->ack_mean_us == 0 || us > b->opts.call_timeout_us) {
         return b->opts.call_timeout_us;
     }
-    return us > ACK_MIN_US ? us : ACK_MIN_US;
+    return us > ANSWER_TIMEOUT_MIN_US ? us : ANSWER_TIMEOUT_MIN_US;
 }
 
 static struct lease_request *
-call(struct broker *b, struct broker_upstream *u, enum lease_call kind,
-     struct broker_call **out)
+new_call(struct broker *b, struct broker_upstream *u, enum lease_call kind,
+         struct broker_call **out)
 {
     struct handle h;
     struct broker_call *c = table_add(&b->calls, &h);
@@ -63,7 +63,7 @@
 
 /* What the upstream's clock has come to at least, as a slow one would. */
 static int64_t
-clock_now_ms(const struct broker *b, const struct broker_upstream *u)
+least_clock_ms(const struct broker *b, const struct broker_upstream *u)
 {
     double passed_us = (double)(b->now.mono_us - u->clock_us);
 
@@ -74,23 +74,25 @@
 /* The latest time by which a deadline that is sent now and lies so far ahead
  * has passed there: its clock may be slow. */
 static void
-extend_lapse(const struct broker *b, struct broker_upstream *u,
-             int64_t left_us)
+extend_expiry(const struct broker *b, struct broker_upstream *u,
+              int64_t left_us)
 {
-    double slow = 1.0 + 2.0 * b->opts.clock_drift;
-    int64_t at =
-        b->now.mono_us + (int64_t)((double)left_us * slow) + EXPIRY_SLACK_US;
+    double drift_factor = 1.0 + 2.0 * b->opts.clock_drift;
+    int64_t expiry_us = b->now.mono_us +
+                        (int64_t)((double)left_us * drift_factor) +
+                        EXPIRY_SLACK_US;
 
     if (b->opts.breaks[BROKER_BREAK_LAPSE_EARLY]) {
-        at = b->now.mono_us + b->opts.lease_us / 2;
+        expiry_us = b->now.mono_us + b->opts.lease_us / 2;
     }
-    u->leases_end_us = at > u->leases_end_us ? at : u->leases_end_us;
+    u->leases_end_us =
+        expiry_us > u->leases_end_us ? expiry_us : u->leases_end_us;
 }
 
 /* A lease from now, or less where a job with tasks there may not run for so
  * long; 0 for no time at all. */
 static int64_t
-deadline_ms(struct broker *b, struct broker_upstream *u)
+next_deadline_ms(struct broker *b, struct broker_upstream *u)
 {
     int64_t left_us = renew_upstream_limit_us(b, u) - b->now.mono_us;
     int64_t until_us;
@@ -102,13 +104,13 @@
     until_us = b->now.mono_us + left_us;
     u->granted_until_us =
         until_us > u->granted_until_us ? until_us : u->granted_until_us;
-    extend_lapse(b, u, left_us);
-    return clock_now_ms(b, u) + left_us / USEC_PER_MSEC;
+    extend_expiry(b, u, left_us);
+    return least_clock_ms(b, u) + left_us / USEC_PER_MSEC;
 }
 
 static void
-place(struct broker_upstream *u, const struct run_job *job,
-      const struct run_task *t)
+place_task(struct broker_upstream *u, const struct run_job *job,
+           const struct run_task *t)
 {
     const struct rec_task_group *g = &job->groups[t->group];
     struct placed_task *p;
@@ -151,14 +153,14 @@
     struct broker_call *c;
 
     run_mark_started(b, job, t, u);
-    place(u, job, t);
-    r = call(b, u, LEASE_START, &c);
+    place_task(u, job, t);
+    r = new_call(b, u, LEASE_START, &c);
     c->job = job->self;
     c->task = (uint32_t)(t - job->tasks);
     c->run = t->run;
     r->task = lease_task_ref(job, t);
     r->spec = blob_ref(job->spec);
-    r->deadline_ms = deadline_ms(b, u);
+    r->deadline_ms = next_deadline_ms(b, u);
     if (u->poll == 0 && u->poll_us > b->now.mono_us) {
         u->poll_us = b->now.mono_us;
     }
@@ -169,7 +171,7 @@
                 struct task_ref task, struct handle job, uint32_t number)
 {
     struct broker_call *c;
-    struct lease_request *r = call(b, u, LEASE_STOP, &c);
+    struct lease_request *r = new_call(b, u, LEASE_STOP, &c);
 
     c->job = job;
     c->task = number;
@@ -191,19 +193,19 @@
 }
 
 static bool
-extends(const struct broker_upstream *u)
+extends_lease(const struct broker_upstream *u)
 {
     return u->state == HOLD_OPEN && u->n_tasks > 0 && u->clock_ms > 0;
 }
 
 static int64_t
-look_wait_us(const struct broker *b, const struct broker_upstream *u)
+upstream_poll_wait_us(const struct broker *b, const struct broker_upstream *u)
 {
     bool running = false;
 
     if (u->state != HOLD_OPEN || u->n_tasks == 0 || u->missed_polls > 0) {
         return (u->state == HOLD_TAKING && u->clock_ms > 0) || u->unknown_runs
-                   ? QUICK_LOOK_US
+                   ? QUICK_POLL_US
                    : 0;
     }
     for (size_t i = 0; i < u->n_tasks; i++) {
@@ -212,26 +214,26 @@
 
         if (t->state == RUN_UNRESOLVED || t->state == RUN_STOPPING ||
             u->unknown_runs) {
-            return QUICK_LOOK_US;
+            return QUICK_POLL_US;
         }
         running = running || t->state == RUN_RUNNING;
     }
-    return running ? b->opts.poll_wait_us : QUICK_LOOK_US;
+    return running ? b->opts.poll_wait_us : QUICK_POLL_US;
 }
 
 void
 lease_poll(struct broker *b, struct broker_upstream *u)
 {
-    int64_t wait_us = look_wait_us(b, u);
+    int64_t wait_us = upstream_poll_wait_us(b, u);
     struct broker_call *c;
-    struct lease_request *r = call(b, u, LEASE_POLL, &c);
+    struct lease_request *r = new_call(b, u, LEASE_POLL, &c);
 
     u->poll = handle_number(c->self);
     u->poll_us = INT64_MAX;
     r->acked = u->last_end;
     r->wait_ms = wait_us / USEC_PER_MSEC;
     r->timeout_us = answer_timeout_us(b) + wait_us;
-    r->deadline_ms = extends(u) ? deadline_ms(b, u) : 0;
+    r->deadline_ms = extends_lease(u) ? next_deadline_ms(b, u) : 0;
     u->ack_pending = false;
     b->counters.looks++;
 }
@@ -240,7 +242,7 @@
 lease_quick_poll(struct broker *b, struct broker_upstream *u)
 {
     struct broker_call *c;
-    struct lease_request *r = call(b, u, LEASE_POLL, &c);
+    struct lease_request *r = new_call(b, u, LEASE_POLL, &c);
 
     u->quick_poll = handle_number(c->self);
     u->quick_poll_due = false;
--- a/src/broker_order.c
+++ b/src/broker_order.c
@@ -20,53 +20,53 @@
 /* A queue goes that much before one of the next lower priority: half of the
  * usual spare time of a short job, so that priority decides between jobs of a
  * kind and never starves a long one. */
-#define PRIORITY_US (60 * USEC_PER_MSEC)
+#define PRIORITY_STEP_US (60 * USEC_PER_MSEC)
 /* Share of the processors that tasks of usual sizes can fill: 14 of 32 cores
  * leave an eighth unused. */
-static const double FILL = 0.85;
+static const double USABLE_SHARE = 0.85;
 /* Answers are of some use to callers until that multiple of the objective. */
-enum { LATE_OBJECTIVES = 3 };
+enum { USEFUL_OBJECTIVES = 3 };
 /* Jobs that may wait at one broker: several seconds of a zone's usual demand;
  * more can't be in time anyway. */
 enum { QUEUE_JOBS_MAX = 1024 };
 /* Late jobs stand behind all others: farther than any time reaches. */
-#define LATE_LANE_US (INT64_C(1) << 56)
+#define LATE_OFFSET_US (INT64_C(1) << 56)
 /* However full it is, some jobs in time end early. */
-static const double LEFT_MIN = 0.05;
+static const double LATE_SHARE_MIN = 0.05;
 /* Late jobs leave that share of the room to those that come next and can be in
  * time: a usual job takes as much. */
-static const double SPARE_SHARE = 0.08;
+static const double LATE_RESERVE_SHARE = 0.08;
 /* A late job that takes more than that of the room begins with a part of its
  * tasks: so much as a wide one takes is hardly ever free at once, and it would
  * be refused beside idle upstreams. */
 static const double WIDE_SHARE = 0.25;
 /* A late job is let in where it would start in time for that multiple of the
  * estimated wait: what comes later may go before it. */
-enum { LATE_CAUTION = 2 };
-#define MIN_RETRY_US (200 * USEC_PER_MSEC)
+enum { LATE_WAIT_FACTOR = 2 };
+#define RETRY_MIN_US (200 * USEC_PER_MSEC)
 /* Demand and room are measured over 2 s; what they say of a time much later is
  * no reason to keep a caller away. */
-#define MAX_RETRY_US (5 * USEC_PER_SEC)
+#define RETRY_MAX_US (5 * USEC_PER_SEC)
 /* Farther than any deadline, and small enough to be multiplied. */
 #define NEVER_US (INT64_C(1) << 50)
 
 static struct queue_stats *
-history_of(struct broker_service *s, struct name queue)
+get_queue_stats(struct broker_service *s, struct name queue)
 {
-    struct queue_stats *more;
+    struct queue_stats *grown;
 
     for (size_t i = 0; i < s->n_stats; i++) {
         if (name_equal(s->stats[i].queue, queue)) {
             return &s->stats[i];
         }
     }
-    more = realloc(s->stats, (s->n_stats + 1) * sizeof(*more));
-    if (more == NULL) {
+    grown = realloc(s->stats, (s->n_stats + 1) * sizeof(*grown));
+    if (grown == NULL) {
         abort();
     }
-    s->stats = more;
-    memset(&more[s->n_stats], 0, sizeof(*more));
-    more[s->n_stats].queue = queue;
+    s->stats = grown;
+    memset(&grown[s->n_stats], 0, sizeof(*grown));
+    grown[s->n_stats].queue = queue;
     return &s->stats[s->n_stats++];
 }
 
@@ -74,7 +74,7 @@
 order_expected_us(const struct run_job *job, const struct rec_task_group *g)
 {
     return estimate_mean_us(
-        &history_of(job->service, job->queue)->run_estimate,
+        &get_queue_stats(job->service, job->queue)->run_estimate,
         (int64_t)g->declared_us);
 }
 
@@ -82,14 +82,14 @@
 order_record_run(struct run_job *job, const struct rec_task_group *g,
                  int64_t ran_us)
 {
-    estimate_add_run(&history_of(job->service, job->queue)->run_estimate,
+    estimate_add_run(&get_queue_stats(job->service, job->queue)->run_estimate,
                      (int64_t)g->declared_us, ran_us);
 }
 
 /* The longest chain of groups that wait for each other.  A group waits only
  * for earlier ones. */
 static int64_t
-longest_chain(const struct run_job *job)
+longest_chain_us(const struct run_job *job)
 {
     int64_t ends[TASK_GROUPS_MAX] = {0};
     int64_t longest = 0;
@@ -109,7 +109,7 @@
 }
 
 static double
-work_of(const struct run_job *job)
+expected_work(const struct run_job *job)
 {
     double work = 0;
 
@@ -126,11 +126,11 @@
 order_set_times(struct broker *b, struct run_job *job,
                 const struct rec_job_offer *o)
 {
-    int64_t chain = longest_chain(job);
+    int64_t chain = longest_chain_us(job);
     int64_t objective =
         chain * (int64_t)o->stretch_milli / 1000 + (int64_t)o->target_us;
 
-    job->work = work_of(job);
+    job->work = expected_work(job);
     job->objective_us = b->now.mono_us - (int64_t)o->age_us + objective;
     job->deadline_us = b->now.mono_us + (int64_t)o->deadline_us;
     job->latest_start_us = job->objective_us - chain;
@@ -138,7 +138,7 @@
                             ? job->arrived_us
                             : job->latest_start_us;
     if (!b->opts.disabled[BROKER_FEATURE_PRIORITY]) {
-        job->queue_key_us += PRIORITY_US * (int64_t)job->priority;
+        job->queue_key_us += PRIORITY_STEP_US * (int64_t)job->priority;
     }
 }
 
@@ -146,21 +146,21 @@
 order_insert(struct run_job *job)
 {
     struct broker_service *s = job->service;
-    struct run_job *other;
+    struct run_job *predecessor;
 
     /* What was begun is ended first: among the late ones its last tasks would
      * wait for ever behind jobs that find no spare room. */
     if (job->started) {
         job->queue_key_us = job->latest_start_us;
     }
-    TAILQ_FOREACH_REVERSE(other, &s->queue, run_queue, link)
+    TAILQ_FOREACH_REVERSE(predecessor, &s->queue, run_queue, link)
     {
-        if (other->queue_key_us <= job->queue_key_us) {
+        if (predecessor->queue_key_us <= job->queue_key_us) {
             break;
         }
     }
-    if (other != NULL) {
-        TAILQ_INSERT_AFTER(&s->queue, other, job, link);
+    if (predecessor != NULL) {
+        TAILQ_INSERT_AFTER(&s->queue, predecessor, job, link);
     }
     else {
         TAILQ_INSERT_HEAD(&s->queue, job, link);
@@ -182,41 +182,42 @@
 
 /* Room: processors of upstreams that take work from here, what is free there,
  * and how fast it comes free. */
-struct room {
+struct service_capacity {
     double cpu;    /* milli-cores */
-    double able;   /* of them, counted by how fast their upstreams are */
+    double usable; /* of them, counted by how fast their upstreams are */
     double unused; /* milli-cores */
     double held;   /* by tasks that run or wait, milli-cores */
-    double ends;   /* of it, in a microsecond */
+    double released_per_us; /* of it, in a microsecond */
 };
 
 /* Tasks that wait or run take @cpu for about @us. */
 static void
-add_held(struct room *r, double cpu, int64_t us)
+add_held(struct service_capacity *c, double cpu, int64_t us)
 {
-    r->held += cpu;
-    r->ends += cpu / (double)(us > 0 ? us : 1);
+    c->held += cpu;
+    c->released_per_us += cpu / (double)(us > 0 ? us : 1);
 }
 
 static void
-add_upstream(struct broker *b, struct room *r, const struct broker_upstream *u)
+add_upstream_capacity(struct broker *b, struct service_capacity *c,
+                      const struct broker_upstream *u)
 {
-    r->cpu += u->capacity.cpu_milli;
-    r->able +=
-        u->capacity.cpu_milli * FILL / (u->slowness > 1.0 ? u->slowness : 1.0);
-    r->unused += u->capacity.cpu_milli - u->used.cpu_milli;
+    c->cpu += u->capacity.cpu_milli;
+    c->usable += u->capacity.cpu_milli * USABLE_SHARE /
+                 (u->slowness > 1.0 ? u->slowness : 1.0);
+    c->unused += u->capacity.cpu_milli - u->used.cpu_milli;
     for (size_t i = 0; i < u->n_tasks; i++) {
         struct run_job *job;
         const struct run_task *t = run_find_task(b, &u->tasks[i], &job);
 
-        add_held(r, (double)job->groups[t->group].cpu_milli, t->expected_us);
+        add_held(c, (double)job->groups[t->group].cpu_milli, t->expected_us);
     }
 }
 
-static struct room
-room_of(struct broker *b, const struct broker_service *s)
+static struct service_capacity
+measure_capacity(struct broker *b, const struct broker_service *s)
 {
-    struct room r = {0};
+    struct service_capacity c = {0};
     const struct broker_upstream *u;
     struct handle h;
     uint32_t at = 0;
@@ -224,10 +225,10 @@
     while ((u = table_next(&b->upstreams, &at, &h)) != NULL) {
         if (u->service == s && u->state == HOLD_OPEN && !u->leaving &&
             u->quarantine_until_us <= b->now.mono_us) {
-            add_upstream(b, &r, u);
+            add_upstream_capacity(b, &c, u);
         }
     }
-    return r;
+    return c;
 }
 
 /* Milli-cores that a job's ready tasks take. */
@@ -247,7 +248,8 @@
 /* What waits before a place in the queue counts as held, too: it is by the
  * time that it is the turn of what comes behind it. */
 static double
-queued_before(const struct broker_service *s, int64_t ahead_us, struct room *r)
+queued_before(const struct broker_service *s, int64_t before_key_us,
+              struct service_capacity *c)
 {
     const struct run_job *job;
     double cpu = 0;
@@ -256,12 +258,12 @@
     {
         double own;
 
-        if (job->queue_key_us > ahead_us) {
+        if (job->queue_key_us > before_key_us) {
             break;
         }
         own = ready_cpu(job);
         cpu += own;
-        add_held(r, own, order_expected_us(job, &job->groups[0]));
+        add_held(c, own, order_expected_us(job, &job->groups[0]));
     }
     return cpu;
 }
@@ -269,24 +271,25 @@
 /* Milli-cores that come free in a microsecond when all are taken by what is
  * held now. */
 static double
-release_rate(const struct room *r)
+release_rate(const struct service_capacity *c)
 {
-    return r->held > 0 ? r->cpu * FILL * r->ends / r->held : 0;
+    return c->held > 0 ? c->cpu * USABLE_SHARE * c->released_per_us / c->held
+                       : 0;
 }
 
 static int64_t
-wait_us(const struct room *r, double queued, double own)
+expected_wait_us(const struct service_capacity *c, double queued, double own)
 {
-    double wanted = queued + own - r->unused;
-    double rate = release_rate(r);
+    double missing_cpu = queued + own - c->unused;
+    double rate = release_rate(c);
 
-    if (r->cpu <= 0) {
+    if (c->cpu <= 0) {
         return NEVER_US;
     }
-    if (wanted <= 0 || rate <= 0) {
+    if (missing_cpu <= 0 || rate <= 0) {
         return 0;
     }
-    return (int64_t)(wanted / rate);
+    return (int64_t)(missing_cpu / rate);
 }
 
 /* Late jobs: they get what the others leave.  How much that is shows in how
@@ -294,12 +297,13 @@
  * is no less than the room that what comes in leaves. */
 
 static double
-late_rate(struct broker *b, struct broker_service *s, const struct room *r)
+late_capacity(struct broker *b, struct broker_service *s,
+              const struct service_capacity *c)
 {
-    double left = r->able - share_total_demand(s);
-    double least_rate = r->able * LEFT_MIN;
+    double left = c->usable - share_total_demand(s);
+    double least_rate = c->usable * LATE_SHARE_MIN;
 
-    share_update(b, s, r->able);
+    share_update(b, s, c->usable);
     left = left > s->late_throughput ? left : s->late_throughput;
     return left > least_rate ? left : least_rate;
 }
@@ -307,25 +311,24 @@
 void
 order_on_late_start(struct broker *b, struct run_job *job)
 {
-    struct room r = room_of(b, job->service);
+    struct service_capacity c = measure_capacity(b, job->service);
 
-    share_update(b, job->service, r.able);
+    share_update(b, job->service, c.usable);
     share_add_late_start(job->service, job->work);
 }
 
 /* Work of late jobs that waits before one that must start by then. */
 static double
-late_work_before(const struct broker_service *s, int64_t start_by_us)
+late_work_before(const struct broker_service *s, int64_t before_us)
 {
     const struct run_job *job;
     double work = 0;
 
     TAILQ_FOREACH(job, &s->queue, link)
     {
-        work +=
-            job->late && !job->started && job->latest_start_us < start_by_us
-                ? job->work
-                : 0;
+        work += job->late && !job->started && job->latest_start_us < before_us
+                    ? job->work
+                    : 0;
     }
     return work;
 }
@@ -334,21 +337,21 @@
 
 /* An answer after that is of no use any more. */
 static int64_t
-last_start_us(const struct run_job *job)
+last_useful_start_us(const struct run_job *job)
 {
     int64_t allowed = job->objective_us - job->arrived_us;
     int64_t chain = job->objective_us - job->latest_start_us;
-    int64_t last = job->arrived_us + LATE_OBJECTIVES * allowed - chain;
-    int64_t leaves = job->deadline_us - chain;
+    int64_t last = job->arrived_us + USEFUL_OBJECTIVES * allowed - chain;
+    int64_t by_deadline = job->deadline_us - chain;
 
-    return last < leaves ? last : leaves;
+    return last < by_deadline ? last : by_deadline;
 }
 
 static void
-set_late(struct run_job *job)
+mark_late(struct run_job *job)
 {
     job->late = true;
-    job->queue_key_us = LATE_LANE_US + job->latest_start_us;
+    job->queue_key_us = LATE_OFFSET_US + job->latest_start_us;
 }
 
 /* When it would have a chance: what stands before it is done by then. */
@@ -357,23 +360,25 @@
 {
     int64_t us = start_us - job->latest_start_us;
 
-    us = us > MIN_RETRY_US ? us : MIN_RETRY_US;
-    return us < MAX_RETRY_US ? us : MAX_RETRY_US;
+    us = us > RETRY_MIN_US ? us : RETRY_MIN_US;
+    return us < RETRY_MAX_US ? us : RETRY_MAX_US;
 }
 
 static bool
-can_be_in_time(struct broker *b, struct run_job *job, const struct room *free)
+try_admit_in_time(struct broker *b, struct run_job *job,
+                  const struct service_capacity *free)
 {
     struct broker_service *s = job->service;
-    struct queue_stats *q = history_of(s, job->queue);
-    struct room r = *free;
+    struct queue_stats *q = get_queue_stats(s, job->queue);
+    struct service_capacity c = *free;
     int64_t spare = job->latest_start_us - b->now.mono_us;
     int64_t wait;
 
-    wait =
-        wait_us(&r, queued_before(s, job->queue_key_us, &r), ready_cpu(job));
+    wait = expected_wait_us(&c, queued_before(s, job->queue_key_us, &c),
+                            ready_cpu(job));
     if (!b->opts.disabled[BROKER_FEATURE_SHARES]) {
-        spare = (int64_t)((double)spare * share_wait_factor(s, q, free->able));
+        spare =
+            (int64_t)((double)spare * share_wait_factor(s, q, free->usable));
     }
     if (wait > spare) {
         return false;
@@ -384,25 +389,25 @@
 
 /* Demand is above what there is, by the last 2 s. */
 static bool
-overloaded(const struct broker_service *s, const struct room *r)
+is_overloaded(const struct broker_service *s, const struct service_capacity *c)
 {
-    return share_total_demand(s) >= r->able;
+    return share_total_demand(s) >= c->usable;
 }
 
 /* When it would start behind all others: as room comes free, and, while demand
  * is above what there is, as late jobs get room at all. */
 static int64_t
 late_start_us(struct broker *b, const struct run_job *job,
-              const struct room *free)
+              const struct service_capacity *free)
 {
-    struct room r = *free;
-    double queued = queued_before(job->service, INT64_MAX, &r);
-    double wait = (double)wait_us(&r, queued, ready_cpu(job));
+    struct service_capacity c = *free;
+    double queued = queued_before(job->service, INT64_MAX, &c);
+    double wait = (double)expected_wait_us(&c, queued, ready_cpu(job));
 
-    if (overloaded(job->service, free)) {
+    if (is_overloaded(job->service, free)) {
         double work =
             late_work_before(job->service, job->latest_start_us) + job->work;
-        double rate = late_rate(b, job->service, free);
+        double rate = late_capacity(b, job->service, free);
         double share_wait = rate > 0 ? work / rate : (double)NEVER_US;
 
         wait = wait > share_wait ? wait : share_wait;
@@ -415,20 +420,20 @@
 order_admit(struct broker *b, struct run_job *job, int64_t *retry_us)
 {
     struct broker_service *s = job->service;
-    struct queue_stats *q = history_of(s, job->queue);
-    struct room r = room_of(b, job->service);
+    struct queue_stats *q = get_queue_stats(s, job->queue);
+    struct service_capacity c = measure_capacity(b, job->service);
     int64_t start;
 
     *retry_us = 0;
     q->priority = job->priority;
-    share_add_demand(b, s, q, job->work, r.able);
-    if (can_be_in_time(b, job, &r)) {
+    share_add_demand(b, s, q, job->work, c.usable);
+    if (try_admit_in_time(b, job, &c)) {
         return BROKER_NONE;
     }
-    set_late(job);
-    start = late_start_us(b, job, &r);
-    if (b->now.mono_us + LATE_CAUTION * (start - b->now.mono_us) <=
-            last_start_us(job) &&
+    mark_late(job);
+    start = late_start_us(b, job, &c);
+    if (b->now.mono_us + LATE_WAIT_FACTOR * (start - b->now.mono_us) <=
+            last_useful_start_us(job) &&
         s->n_queued < QUEUE_JOBS_MAX) {
         return BROKER_NONE;
     }
@@ -441,7 +446,7 @@
 {
     if (!job->late && !job->started && b->now.mono_us > job->latest_start_us) {
         order_remove(job);
-        set_late(job);
+        mark_late(job);
         order_insert(job);
     }
 }
@@ -450,31 +455,31 @@
 order_starts_too_late(struct broker *b, const struct run_job *job,
                       int64_t *retry_us)
 {
-    struct room r;
+    struct service_capacity c;
     int64_t start;
-    bool over;
+    bool too_late;
 
     if (!job->late || job->started) {
         return false;
     }
-    r = room_of(b, job->service);
-    over = b->now.mono_us > last_start_us(job);
+    c = measure_capacity(b, job->service);
+    too_late = b->now.mono_us > last_useful_start_us(job);
     /* A cluster of long jobs clears up sooner than it looks. */
-    if (!over && !overloaded(job->service, &r)) {
+    if (!too_late && !is_overloaded(job->service, &c)) {
         return false;
     }
-    start = late_start_us(b, job, &r);
+    start = late_start_us(b, job, &c);
     *retry_us = retry_after_us(job, start);
     /* What comes in was brought up to date meanwhile. */
-    return over ||
-           (overloaded(job->service, &r) && start > last_start_us(job));
+    return too_late || (is_overloaded(job->service, &c) &&
+                        start > last_useful_start_us(job));
 }
 
 bool
 order_late_can_start(struct broker *b, const struct run_job *job)
 {
-    struct room r = room_of(b, job->service);
-    double wide = r.cpu * WIDE_SHARE;
+    struct service_capacity c = measure_capacity(b, job->service);
+    double wide = c.cpu * WIDE_SHARE;
     double own = ready_cpu(job);
 
     if (b->opts.disabled[BROKER_FEATURE_SPARE]) {
@@ -483,7 +488,7 @@
     if (b->opts.disabled[BROKER_FEATURE_WIDE]) {
         wide = own;
     }
-    return r.unused - (own < wide ? own : wide) >= r.cpu * SPARE_SHARE;
+    return c.unused - (own < wide ? own : wide) >= c.cpu * LATE_RESERVE_SHARE;
 }
 
 static double
@@ -503,11 +508,11 @@
 order_service_load(struct broker *b, const struct broker_service *s)
 {
     struct rec_service_load l = {.service = s->name};
-    struct room r = room_of(b, s);
+    struct service_capacity c = measure_capacity(b, s);
 
-    l.cpu_milli = (uint64_t)r.cpu;
-    l.free_milli = (uint64_t)r.unused;
-    l.rate = (uint64_t)(release_rate(&r) * (double)USEC_PER_MSEC);
+    l.cpu_milli = (uint64_t)c.cpu;
+    l.free_milli = (uint64_t)c.unused;
+    l.rate = (uint64_t)(release_rate(&c) * (double)USEC_PER_MSEC);
     l.queued0_milli = (uint64_t)queued_of_priority(s, 0);
     l.queued1_milli = (uint64_t)queued_of_priority(s, 1);
     l.queued2_milli = (uint64_t)queued_of_priority(s, UINT32_MAX);
--- a/src/broker_peer.c
+++ b/src/broker_peer.c
@@ -9,7 +9,7 @@
 
 /* A process that no registry names and that is silent for so long is dialed no
  * more. */
-#define FORGET_US (30 * USEC_PER_SEC)
+#define REMOVE_AFTER_US (30 * USEC_PER_SEC)
 
 struct broker_peer *
 peers_find(const struct broker *b, struct name name)
@@ -80,14 +80,14 @@
 }
 
 static void
-view_changed(struct broker *b)
+mark_view_changed(struct broker *b)
 {
     b->view++;
     b->review_due = true;
 }
 
 static void
-introduce(struct broker *b, struct name to, bool again)
+send_introduction(struct broker *b, struct name to, bool again)
 {
     struct msg m = {.kind = MSG_INTRODUCTION};
     struct rec_introduction *i = &m.u.introduction;
@@ -102,7 +102,7 @@
 }
 
 static void
-forget_loads(struct broker_peer *p)
+clear_loads(struct broker_peer *p)
 {
     free(p->loads);
     p->loads = NULL;
@@ -110,19 +110,19 @@
 }
 
 static void
-peer_lost(struct broker *b, struct broker_peer *p)
+on_peer_lost(struct broker *b, struct broker_peer *p)
 {
     p->up = false;
     p->down_us = b->now.mono_us;
     renew_reset_peer(p);
-    forget_loads(p);
+    clear_loads(p);
     config_registry_lost(b, p);
     broker_log(b, LOG_NOTICE, BROKER_PEER_DOWN, 0, -1, p->name, "%s",
                p->registry ? "registry" : "broker");
     caller_on_runner_lost(b, p->name);
     run_on_taker_lost(b, p->name);
     hold_broker_lost(b, p->name);
-    view_changed(b);
+    mark_view_changed(b);
 }
 
 void
@@ -131,7 +131,7 @@
     struct broker_peer *p = find_or_add(b, name);
 
     if (!up) {
-        peer_lost(b, p);
+        on_peer_lost(b, p);
         return;
     }
     p->up = true;
@@ -143,7 +143,7 @@
          * should hold them, and it would take them at once. */
         hold_send_held(b, name);
     }
-    introduce(b, name, false);
+    send_introduction(b, name, false);
     broker_log(b, LOG_NOTICE, BROKER_PEER_UP, 0, -1, name, "%s",
                p->registry ? "registry" : "broker");
 }
@@ -168,7 +168,7 @@
         hold_send_held(b, from);
     }
     b->next_load_us = b->now.mono_us; /* it knows no load of ours yet */
-    view_changed(b);
+    mark_view_changed(b);
 }
 
 static void
@@ -231,7 +231,7 @@
     struct broker_peer *p = find_or_add(b, from);
     size_t n = l->n_services;
 
-    forget_loads(p);
+    clear_loads(p);
     p->loads = calloc(n + 1, sizeof(*p->loads));
     if (p->loads == NULL) {
         abort();
@@ -244,7 +244,7 @@
     p->draining = l->lingers != 0;
     if (p->stopping != (l->stopping != 0)) {
         p->stopping = l->stopping != 0;
-        view_changed(b);
+        mark_view_changed(b);
     }
     renew_on_request(b, from, l->sent_us, false);
 }
@@ -295,7 +295,7 @@
 /* Until the next report: often enough for the others to see the queue move,
  * and no more messages a second than are allowed, however many they are. */
 static int64_t
-load_pause_us(const struct broker *b, uint32_t sent)
+next_load_delay_us(const struct broker *b, uint32_t sent)
 {
     int64_t spread = sent * USEC_PER_SEC / b->opts.load_reports_per_s;
 
@@ -309,16 +309,16 @@
     b->self->stopping = true;
     for (struct broker_peer *p = b->peers; p != NULL; p = p->next) {
         if (p->up) {
-            introduce(b, p->name, true);
+            send_introduction(b, p->name, true);
         }
     }
-    view_changed(b);
+    mark_view_changed(b);
 }
 
 /* Registries tell other zones of those that hold upstreams before all others,
  * since only they run jobs. */
 static void
-tell_holds(struct broker *b)
+report_holds(struct broker *b)
 {
     bool holds = hold_has_any(b);
 
@@ -328,7 +328,7 @@
     b->holds_reported = holds;
     for (const struct broker_peer *p = b->peers; p != NULL; p = p->next) {
         if (p->registry && p->up) {
-            introduce(b, p->name, true);
+            send_introduction(b, p->name, true);
         }
     }
 }
@@ -336,15 +336,15 @@
 /* Time */
 
 static void
-forget_gone(struct broker *b)
+remove_lost_peers(struct broker *b)
 {
     struct broker_peer **at = &b->peers;
 
     while (*at != NULL) {
         struct broker_peer *p = *at;
 
-        if (p->up || p->self || b->now.mono_us - p->down_us < FORGET_US ||
-            p->registry) {
+        if (p->up || p->self ||
+            b->now.mono_us - p->down_us < REMOVE_AFTER_US || p->registry) {
             at = &p->next;
             continue;
         }
@@ -359,9 +359,9 @@
 peers_tick(struct broker *b)
 {
     if (b->now.mono_us >= b->next_load_us) {
-        tell_holds(b);
-        b->next_load_us = b->now.mono_us + load_pause_us(b, send_load(b));
-        forget_gone(b);
+        report_holds(b);
+        b->next_load_us = b->now.mono_us + next_load_delay_us(b, send_load(b));
+        remove_lost_peers(b);
     }
 }
 
@@ -374,7 +374,7 @@
 /* Holders */
 
 static bool
-may_hold(const struct broker *b, const struct broker_peer *p)
+can_hold(const struct broker *b, const struct broker_peer *p)
 {
     return p->broker && (p->up || p->self) && !p->stopping &&
            name_equal(p->zone, b->opts.zone);
@@ -384,7 +384,7 @@
 peers_have_successor(const struct broker *b)
 {
     for (const struct broker_peer *p = b->peers; p != NULL; p = p->next) {
-        if (!p->self && may_hold(b, p)) {
+        if (!p->self && can_hold(b, p)) {
             return true;
         }
     }
@@ -399,7 +399,7 @@
 
 /* By age, the first started first. */
 static int
-compare_age(const void *x, const void *y)
+compare_start_time(const void *x, const void *y)
 {
     const struct broker_peer *a = ((const struct holder_ref *)x)->peer;
     const struct broker_peer *b = ((const struct holder_ref *)y)->peer;
@@ -436,14 +436,15 @@
 
     b->n_holders = 0;
     for (struct broker_peer *p = b->peers; p != NULL; p = p->next) {
-        if (may_hold(b, p)) {
+        if (can_hold(b, p)) {
             b->holders = array_grow(b->holders, b->n_holders,
                                     &b->holders_capacity, sizeof(*b->holders));
             b->holders[b->n_holders++].peer = p;
         }
     }
     if (b->n_holders > 1) {
-        qsort(b->holders, b->n_holders, sizeof(*b->holders), compare_age);
+        qsort(b->holders, b->n_holders, sizeof(*b->holders),
+              compare_start_time);
     }
     wanted = wanted > 0 ? wanted : 1;
     b->n_holders = wanted < b->n_holders ? wanted : b->n_holders;
--- a/src/broker_renew.c
+++ b/src/broker_renew.c
@@ -22,23 +22,23 @@
 #include "broker_state.h"
 
 /* A taker confirms a job so often. */
-#define RENEW_US (150 * USEC_PER_MSEC)
+#define RENEW_INTERVAL_US (150 * USEC_PER_MSEC)
 /* A taker that was not heard for so long is asked; loads ask all of them, but
  * not as often where there are many brokers. */
-#define ASK_US (2 * RENEW_US)
+#define CHECK_AFTER_US (2 * RENEW_INTERVAL_US)
 /* Between two checks of one taker by jobs that could start now. */
-#define CHECK_US (20 * USEC_PER_MSEC)
+#define CHECK_INTERVAL_US (20 * USEC_PER_MSEC)
 /* Kept of a caller's time, for coarse clocks and for its connection to break
  * at its taker's end. */
-#define NOTICE_US (50 * USEC_PER_MSEC)
+#define DISCONNECT_MARGIN_US (50 * USEC_PER_MSEC)
 /* Work that could go on for less than this share of a lease does not start. */
-enum { START_SHARE = 2 };
+enum { START_LEASE_DIVISOR = 2 };
 
 void
 renew_init(struct broker *b)
 {
     struct broker_options *o = &b->opts;
-    int64_t us = o->resubmit_us - NOTICE_US - EXPIRY_SLACK_US;
+    int64_t us = o->resubmit_us - DISCONNECT_MARGIN_US - EXPIRY_SLACK_US;
 
     b->job_lease_us = (int64_t)((double)us / (1.0 + 2.0 * o->clock_drift));
     if (o->lease_us > b->job_lease_us) {
@@ -56,7 +56,7 @@
     uint32_t at = 0;
 
     while ((c = table_next(&b->caller_jobs, &at, &h)) != NULL) {
-        if (b->now.mono_us - c->confirmed_us >= RENEW_US &&
+        if (b->now.mono_us - c->confirmed_us >= RENEW_INTERVAL_US &&
             name_equal(c->runner, runner)) {
             return true;
         }
@@ -65,7 +65,7 @@
 }
 
 static void
-renew(struct broker *b, struct name runner, uint64_t heard_us)
+send_renewal(struct broker *b, struct name runner, uint64_t heard_us)
 {
     struct msg m = {.kind = MSG_JOB_RENEWAL};
     struct rec_job_renewal *r = &m.u.job_renewal;
@@ -120,12 +120,12 @@
 /* Only once callers that left before the question came are known: after a
  * standstill, questions may be read before that. */
 static void
-answer_asks(struct broker *b)
+answer_requests(struct broker *b)
 {
     for (struct broker_peer *p = b->peers; p != NULL; p = p->next) {
         if (p->wants_renewal && p->last_received_us <= b->callers_known_us) {
             p->wants_renewal = false;
-            renew(b, p->name, p->last_sent_us);
+            send_renewal(b, p->name, p->last_sent_us);
         }
     }
 }
@@ -170,7 +170,7 @@
 }
 
 static int64_t
-job_limit_us(const struct broker *b, const struct run_job *job)
+lease_end_us(const struct broker *b, const struct run_job *job)
 {
     return renew_confirmed_us(b, job) + b->job_lease_us;
 }
@@ -182,7 +182,7 @@
 
     for (size_t i = 0; i < u->n_tasks; i++) {
         const struct run_job *job = table_get(&b->run_jobs, u->tasks[i].job);
-        int64_t us = job_limit_us(b, job);
+        int64_t us = lease_end_us(b, job);
 
         limit_us = us < limit_us ? us : limit_us;
     }
@@ -190,17 +190,17 @@
 }
 
 static bool
-leaves_time(const struct broker *b, int64_t limit_us)
+leaves_start_time(const struct broker *b, int64_t limit_us)
 {
-    return limit_us - b->now.mono_us >= b->opts.lease_us / START_SHARE;
+    return limit_us - b->now.mono_us >= b->opts.lease_us / START_LEASE_DIVISOR;
 }
 
 bool
 renew_allows_start(struct broker *b, const struct run_job *job,
                    const struct broker_upstream *u)
 {
-    return u->granted_until_us <= job_limit_us(b, job) &&
-           leaves_time(b, renew_upstream_limit_us(b, u));
+    return u->granted_until_us <= lease_end_us(b, job) &&
+           leaves_start_time(b, renew_upstream_limit_us(b, u));
 }
 
 static bool
@@ -232,12 +232,13 @@
 }
 
 static void
-check(struct broker *b, struct name taker, int64_t pause_us)
+send_check(struct broker *b, struct name taker, int64_t interval_us)
 {
     struct broker_peer *p = peers_find(b, taker);
     struct msg m = {.kind = MSG_JOB_CHECK};
 
-    if (p == NULL || !p->up || b->now.mono_us - p->last_check_us < pause_us) {
+    if (p == NULL || !p->up ||
+        b->now.mono_us - p->last_check_us < interval_us) {
         return;
     }
     p->last_check_us = b->now.mono_us;
@@ -248,13 +249,13 @@
 bool
 renew_job_can_start(struct broker *b, const struct run_job *job)
 {
-    int64_t limit_us = job_limit_us(b, job);
+    int64_t limit_us = lease_end_us(b, job);
 
     /* The longest lease that any upstream may have by now. */
     if (limit_us < b->now.mono_us + b->opts.lease_us) {
-        check(b, job->taker, CHECK_US);
+        send_check(b, job->taker, CHECK_INTERVAL_US);
     }
-    return leaves_time(b, limit_us);
+    return leaves_start_time(b, limit_us);
 }
 
 /* Whether its taker had the time of a lease to confirm it, and did not. */
@@ -274,17 +275,17 @@
     struct handle h;
     uint32_t at = 0;
 
-    answer_asks(b);
+    answer_requests(b);
     while ((job = table_next(&b->run_jobs, &at, &h)) != NULL) {
         if (job->closed ||
-            b->now.mono_us - renew_confirmed_us(b, job) < ASK_US) {
+            b->now.mono_us - renew_confirmed_us(b, job) < CHECK_AFTER_US) {
             continue;
         }
         if (is_unconfirmed(b, job)) {
             run_abandon_job(b, job, BROKER_NOT_RENEWED);
         }
         else {
-            check(b, job->taker, RENEW_US);
+            send_check(b, job->taker, RENEW_INTERVAL_US);
         }
     }
 }
--- a/src/broker_runtime.c
+++ b/src/broker_runtime.c
@@ -15,13 +15,13 @@
 #include "stats.h"
 
 enum {
-    RING_ROOM = 4, /* unused: messages and connections must keep their order,
+    RING_SIZE = 4, /* unused: messages and connections must keep their order,
                     * so all of them are posted */
     EVENTS_MAX = 16,
     WAIT_MAX_MS = 500,
-    LAST_MS = 300, /* for the last answers to go out */
+    LAST_WRITE_MS = 300, /* for the last answers to go out */
     METRICS_CONNECTIONS = 8,
-    STATUS_LATER = 503,
+    STATUS_UNAVAILABLE = 503,
 };
 
 enum mail_kind { MAIL_MESSAGE, MAIL_PEER, MAIL_STOP, MAIL_REGISTRY };
@@ -46,16 +46,18 @@
     struct httpapi *metrics;
     struct leaseclient *upstreams;
     struct peer *peers;
-    uint64_t *early; /* requests that came before there is a configuration */
-    size_t n_early;
-    size_t early_room;
+    uint64_t *waiting_requests; /* requests that came before there is a
+                                   configuration */
+    size_t n_waiting_requests;
+    size_t waiting_capacity;
     int epoll;
-    int64_t polled_us; /* callers that left before this were taken note of */
+    int64_t callers_polled_us; /* callers that left before this were taken note
+                                  of */
     pthread_t thread;
     bool running;
     bool healthy;
     atomic_bool stopped;
-    atomic_bool ended;
+    atomic_bool quit;
 };
 
 static void step(struct broker_runtime *r, struct broker_event *ev);
@@ -95,7 +97,7 @@
 }
 
 static void
-carry_out(struct broker_runtime *r, struct broker_effect *f)
+execute_effect(struct broker_runtime *r, struct broker_effect *f)
 {
     struct peer_remote remote;
 
@@ -130,10 +132,10 @@
 step(struct broker_runtime *r, struct broker_event *ev)
 {
     ev->now = clock_now(r->opts.clock);
-    ev->callers_known_us = r->polled_us;
+    ev->callers_known_us = r->callers_polled_us;
     broker_step(r->broker, ev, &r->effects);
     for (size_t i = 0; i < r->effects.n; i++) {
-        carry_out(r, &r->effects.items[i]);
+        execute_effect(r, &r->effects.items[i]);
     }
     broker_effects_clear(&r->effects);
     r->healthy = broker_ready(r->broker);
@@ -161,7 +163,7 @@
                struct httpapi_response *response)
 {
     if (broker_config_outdated(r->broker)) {
-        response->status = STATUS_LATER;
+        response->status = STATUS_UNAVAILABLE;
         response->retry_after_us = USEC_PER_SEC;
     }
     httpapi_reply(r->callers, number, response);
@@ -171,34 +173,35 @@
  * just started will have one in a moment, and its callers are kept until then.
  */
 static bool
-may_be_early(struct broker_runtime *r)
+awaits_first_config(struct broker_runtime *r)
 {
     return broker_queues(r->broker) == NULL &&
            clock_now(r->opts.clock).mono_us < broker_startup_end_us(r->broker);
 }
 
 static void
-keep_early(struct broker_runtime *r, uint64_t number)
+defer_request(struct broker_runtime *r, uint64_t number)
 {
-    r->early =
-        array_grow(r->early, r->n_early, &r->early_room, sizeof(*r->early));
-    r->early[r->n_early++] = number;
+    r->waiting_requests =
+        array_grow(r->waiting_requests, r->n_waiting_requests,
+                   &r->waiting_capacity, sizeof(*r->waiting_requests));
+    r->waiting_requests[r->n_waiting_requests++] = number;
 }
 
 static void
-release_early(struct broker_runtime *r)
+resume_requests(struct broker_runtime *r)
 {
-    if (r->n_early == 0 || may_be_early(r)) {
+    if (r->n_waiting_requests == 0 || awaits_first_config(r)) {
         return;
     }
-    for (size_t i = 0; i < r->n_early; i++) {
-        httpapi_again(r->callers, r->early[i]);
+    for (size_t i = 0; i < r->n_waiting_requests; i++) {
+        httpapi_again(r->callers, r->waiting_requests[i]);
     }
-    r->n_early = 0;
+    r->n_waiting_requests = 0;
 }
 
 static void
-on_caller(void *ctx, const struct httpapi_request *request)
+on_caller_request(void *ctx, const struct httpapi_request *request)
 {
     struct broker_runtime *r = ctx;
     struct caller_request c = {.kind = CALLER_REPLY_NOW};
@@ -207,14 +210,14 @@
     /* The reducer is done and nothing would come back from other processes:
      * a job taken now would get no answer at all. */
     if (atomic_load(&r->stopped)) {
-        c.response.status = STATUS_LATER;
+        c.response.status = STATUS_UNAVAILABLE;
         c.response.retry_after_us = USEC_PER_SEC;
         c.response.close = true;
         httpapi_reply(r->callers, request->number, &c.response);
         return;
     }
-    if (may_be_early(r)) {
-        keep_early(r, request->number);
+    if (awaits_first_config(r)) {
+        defer_request(r, request->number);
         return;
     }
     r->opts.codec->decode(request, broker_queues(r->broker), &c);
@@ -242,7 +245,7 @@
 }
 
 static void
-on_caller_gone(void *ctx, uint64_t number)
+on_caller_disconnect(void *ctx, uint64_t number)
 {
     struct broker_event ev = {.kind = BEV_GONE};
 
@@ -263,7 +266,7 @@
 }
 
 static void
-no_one_gone(void *ctx, uint64_t number)
+ignore_disconnect(void *ctx, uint64_t number)
 {
     (void)ctx;
     (void)number;
@@ -351,7 +354,7 @@
 }
 
 static void
-take(struct broker_runtime *r, struct broker_mail *m)
+handle_mail(struct broker_runtime *r, struct broker_mail *m)
 {
     struct broker_event ev = {.kind = BEV_MESSAGE};
 
@@ -376,14 +379,14 @@
 }
 
 static void
-take_mail(struct broker_runtime *r)
+handle_inbox(struct broker_runtime *r)
 {
     struct mail *mail;
 
     while ((mail = mailbox_take(&r->inbox)) != NULL) {
         struct broker_mail *m = (struct broker_mail *)mail;
 
-        take(r, m);
+        handle_mail(r, m);
         if (m->kind == MAIL_MESSAGE) {
             msg_free(&m->msg);
         }
@@ -394,7 +397,7 @@
 /* The loop */
 
 static int64_t
-sooner(int64_t a_ms, int64_t b_ms)
+earlier_ms(int64_t a_ms, int64_t b_ms)
 {
     if (a_ms < 0 || b_ms < 0) {
         return a_ms < 0 ? b_ms : a_ms;
@@ -408,23 +411,23 @@
     int64_t at_us = broker_next_us(r->broker);
     int64_t over_us = broker_startup_end_us(r->broker);
 
-    return r->n_early > 0 && over_us < at_us ? over_us : at_us;
+    return r->n_waiting_requests > 0 && over_us < at_us ? over_us : at_us;
 }
 
 static int
-wait_ms(struct broker_runtime *r)
+poll_timeout_ms(struct broker_runtime *r)
 {
     int64_t now_us = clock_now(r->opts.clock).mono_us;
     int64_t left_us = next_us(r) - now_us;
     int64_t ms = left_us <= 0 ? 0 : (left_us + 999) / USEC_PER_MSEC;
 
-    ms = sooner(ms, leaseclient_next_ms(r->upstreams));
-    ms = sooner(ms, httpapi_next_ms(r->callers));
+    ms = earlier_ms(ms, leaseclient_next_ms(r->upstreams));
+    ms = earlier_ms(ms, httpapi_next_ms(r->callers));
     if (r->ready != NULL) {
-        ms = sooner(ms, httpapi_next_ms(r->ready));
+        ms = earlier_ms(ms, httpapi_next_ms(r->ready));
     }
     if (r->metrics != NULL) {
-        ms = sooner(ms, httpapi_next_ms(r->metrics));
+        ms = earlier_ms(ms, httpapi_next_ms(r->metrics));
     }
     return ms < WAIT_MAX_MS ? (int)ms : WAIT_MAX_MS;
 }
@@ -442,7 +445,7 @@
 
 /* Which module an event belongs to: the loop's epoll holds their epolls. */
 static void
-run_ready(struct broker_runtime *r, struct epoll_event *events, int n)
+run_modules(struct broker_runtime *r, struct epoll_event *events, int n)
 {
     bool callers = false;
     bool ready = false;
@@ -467,23 +470,23 @@
     int64_t now_us = clock_now(r->opts.clock).mono_us;
 
     httpapi_take_gone(r->callers);
-    r->polled_us = now_us;
+    r->callers_polled_us = now_us;
 }
 
 static void
-run_round(struct broker_runtime *r)
+run_once(struct broker_runtime *r)
 {
     struct epoll_event events[EVENTS_MAX];
     int n = 0;
 
     if (mailbox_doze(&r->inbox)) {
-        n = epoll_wait(r->epoll, events, EVENTS_MAX, wait_ms(r));
+        n = epoll_wait(r->epoll, events, EVENTS_MAX, poll_timeout_ms(r));
     }
     mailbox_rouse(&r->inbox);
     poll_callers(r);
-    take_mail(r);
-    release_early(r);
-    run_ready(r, events, n > 0 ? n : 0);
+    handle_inbox(r);
+    resume_requests(r);
+    run_modules(r, events, n > 0 ? n : 0);
     if (clock_now(r->opts.clock).mono_us >= broker_next_us(r->broker)) {
         step(r, &(struct broker_event){.kind = BEV_TICK});
     }
@@ -492,10 +495,10 @@
 /* Answers that are queued when the reducer is done still have to be written,
  * and requests that are on their way still be refused. */
 static void
-write_last(struct broker_runtime *r)
+write_last_answers(struct broker_runtime *r)
 {
     int64_t until_us =
-        clock_now(r->opts.clock).mono_us + LAST_MS * USEC_PER_MSEC;
+        clock_now(r->opts.clock).mono_us + LAST_WRITE_MS * USEC_PER_MSEC;
 
     while (httpapi_busy(r->callers) > 0 &&
            clock_now(r->opts.clock).mono_us < until_us) {
@@ -509,17 +512,17 @@
 {
     struct broker_runtime *r = arg;
 
-    while (!atomic_load(&r->ended)) {
-        run_round(r);
+    while (!atomic_load(&r->quit)) {
+        run_once(r);
     }
-    write_last(r);
+    write_last_answers(r);
     return NULL;
 }
 
 /* Construction */
 
 static bool
-watch(struct broker_runtime *r, int fd, void *owner)
+watch_fd(struct broker_runtime *r, int fd, void *owner)
 {
     struct epoll_event e = {.events = EPOLLIN, .data.ptr = owner};
 
@@ -527,9 +530,10 @@
 }
 
 static struct httpapi *
-serve(struct broker_runtime *r, const char *listen, unsigned int connections,
-      void (*handle)(void *ctx, const struct httpapi_request *request),
-      void (*gone)(void *ctx, uint64_t number))
+start_server(struct broker_runtime *r, const char *listen,
+             unsigned int connections,
+             void (*handle)(void *ctx, const struct httpapi_request *request),
+             void (*gone)(void *ctx, uint64_t number))
 {
     const struct httpapi_options o = {
         .listen = listen,
@@ -552,7 +556,7 @@
     }
     n = httpapi_fds(h, fds);
     for (int i = 0; i < n; i++) {
-        if (!watch(r, fds[i], h)) {
+        if (!watch_fd(r, fds[i], h)) {
             log_event(LOG_ERR, "not-started", listen, "epoll: %s",
                       strerror(errno));
             httpapi_free(h);
@@ -567,21 +571,21 @@
 {
     const struct broker_runtime_options *o = &r->opts;
 
-    r->callers = serve(r, o->listen_callers.s, o->connections_max, on_caller,
-                       on_caller_gone);
+    r->callers = start_server(r, o->listen_callers.s, o->connections_max,
+                              on_caller_request, on_caller_disconnect);
     if (r->callers == NULL) {
         return false;
     }
     if (o->listen_ready.s[0] != '\0') {
-        r->ready = serve(r, o->listen_ready.s, METRICS_CONNECTIONS, on_ready,
-                         no_one_gone);
+        r->ready = start_server(r, o->listen_ready.s, METRICS_CONNECTIONS,
+                                on_ready, ignore_disconnect);
         if (r->ready == NULL) {
             return false;
         }
     }
     if (o->listen_metrics.s[0] != '\0') {
-        r->metrics = serve(r, o->listen_metrics.s, METRICS_CONNECTIONS,
-                           on_metrics, no_one_gone);
+        r->metrics = start_server(r, o->listen_metrics.s, METRICS_CONNECTIONS,
+                                  on_metrics, ignore_disconnect);
         if (r->metrics == NULL) {
             return false;
         }
@@ -600,7 +604,7 @@
     upstreams.ctx = r;
     r->upstreams = leaseclient_new(&upstreams);
     if (r->upstreams == NULL ||
-        !watch(r, leaseclient_fd(r->upstreams), r->upstreams)) {
+        !watch_fd(r, leaseclient_fd(r->upstreams), r->upstreams)) {
         log_event(LOG_ERR, "not-started", NULL, "libcurl");
         return false;
     }
@@ -622,14 +626,14 @@
 {
     struct broker_runtime *r = calloc(1, sizeof(*r));
 
-    if (r == NULL || mailbox_init(&r->inbox, RING_ROOM) != 0) {
+    if (r == NULL || mailbox_init(&r->inbox, RING_SIZE) != 0) {
         free(r);
         return NULL;
     }
     r->opts = *o;
     r->broker = broker_new(&o->broker);
     r->epoll = epoll_create1(EPOLL_CLOEXEC);
-    if (r->epoll < 0 || !watch(r, r->inbox.fd, &r->inbox) ||
+    if (r->epoll < 0 || !watch_fd(r, r->inbox.fd, &r->inbox) ||
         !start_servers(r) || !start_clients(r)) {
         broker_runtime_free(r);
         return NULL;
@@ -688,7 +692,7 @@
     if (r == NULL) {
         return;
     }
-    atomic_store(&r->ended, true);
+    atomic_store(&r->quit, true);
     if (r->running) {
         mailbox_wake(&r->inbox);
         (void)pthread_join(r->thread, NULL);
@@ -701,7 +705,7 @@
     broker_free(r->broker);
     broker_effects_free(&r->effects);
     drop_mail(r);
-    free(r->early);
+    free(r->waiting_requests);
     if (r->epoll >= 0) {
         (void)close(r->epoll);
     }
--- a/src/broker_shutdown.c
+++ b/src/broker_shutdown.c
@@ -12,14 +12,14 @@
 #include "broker_state.h"
 
 /* Kept of the stop's time: a long task, and an answer to its caller. */
-#define LAST_RUNS_US (2500 * USEC_PER_MSEC)
+#define RUN_END_RESERVE_US (2500 * USEC_PER_MSEC)
 /* A run may take that much longer than expected. */
-enum { CAUTION = 2 };
+enum { RUN_TIME_FACTOR = 2 };
 
 static int64_t
-over_us(const struct broker *b)
+last_serve_us(const struct broker *b)
 {
-    return b->stop_begun_us + b->opts.stop_timeout_us - LAST_RUNS_US;
+    return b->stop_begun_us + b->opts.stop_timeout_us - RUN_END_RESERVE_US;
 }
 
 void
@@ -39,8 +39,8 @@
 void
 shutdown_tick(struct broker *b)
 {
-    if (!b->draining || (b->now.mono_us < over_us(b) && hold_has_any(b) &&
-                         !peers_have_successor(b))) {
+    if (!b->draining || (b->now.mono_us < last_serve_us(b) &&
+                         hold_has_any(b) && !peers_have_successor(b))) {
         return;
     }
     b->draining = false;
@@ -54,7 +54,7 @@
 int64_t
 shutdown_next_us(const struct broker *b)
 {
-    return b->draining ? over_us(b) : INT64_MAX;
+    return b->draining ? last_serve_us(b) : INT64_MAX;
 }
 
 bool
@@ -64,5 +64,6 @@
     int64_t left_us =
         b->stop_begun_us + b->opts.stop_timeout_us - b->now.mono_us;
 
-    return b->draining && CAUTION * chain_us < left_us - LAST_RUNS_US / 2;
+    return b->draining &&
+           RUN_TIME_FACTOR * chain_us < left_us - RUN_END_RESERVE_US / 2;
 }
--- a/src/broker_state.h
+++ b/src/broker_state.h
@@ -861,9 +861,9 @@
                      uint64_t born_ms);
 
 /** hold_on_poll_answer() - a look was answered: it is there, and nothing that
- * we did not start runs there where @strangers is false */
+ * we did not start runs there where @unknown is false */
 void hold_on_poll_answer(struct broker *b, struct broker_upstream *u,
-                         bool strangers);
+                         bool unknown);
 
 /** hold_on_poll_failure() - a look was not answered */
 void hold_on_poll_failure(struct broker *b, struct broker_upstream *u);
--- a/src/estimate.c
+++ b/src/estimate.c
@@ -4,108 +4,110 @@
 #include <stdbool.h>
 
 enum {
-    SAMPLES_ENOUGH = 10, /* before that the declared time counts */
-    MANY = 8,            /* tasks, of which one is likely past the tail */
+    SAMPLES_MIN = 10, /* before that the declared time counts */
+    MANY_TASKS = 8,   /* tasks, of which one is likely past the tail */
 };
 
-static const double SLOWEST = 0.01; /* weight of a sample in the long run */
-static const double STEP = 0.05;    /* of the quantile estimates */
-static const double TAIL_SHARE = 0.95;
-static const double TAIL_START = 3.0; /* run time over expected */
-static const double EXTREME = 0.99;
-static const double LEAST = 1.0; /* of both */
+static const double MEAN_WEIGHT_MIN =
+    0.01; /* weight of a sample in the long run */
+static const double QUANTILE_STEP = 0.05; /* of the quantile estimates */
+static const double P95 = 0.95;
+static const double INITIAL_FACTOR = 3.0; /* run time over expected */
+static const double P99 = 0.99;
+static const double FACTOR_MIN = 1.0; /* of both */
 
 static void
-blend(double *mean, double sample, double weight)
+update_mean(double *mean, double sample, double weight)
 {
     *mean += weight * (sample - *mean);
 }
 
 static double
-positive(int64_t us)
+at_least_one_us(int64_t us)
 {
     return us > 0 ? (double)us : 1.0;
 }
 
 static bool
-declared_helps(const struct run_estimate *l)
+declared_is_better(const struct run_estimate *e)
 {
-    return l->ratio_error < l->mean_error;
+    return e->ratio_error < e->mean_error;
 }
 
 /* Robbins-Monro: the estimate rests where the share @within lies below it. */
 static void
-learn_quantile(double *estimate, double within, double sample)
+update_quantile(double *estimate, double within, double sample)
 {
     if (sample > *estimate) {
-        *estimate *= 1.0 + STEP * within;
+        *estimate *= 1.0 + QUANTILE_STEP * within;
     }
     else {
-        *estimate *= 1.0 - STEP * (1.0 - within);
+        *estimate *= 1.0 - QUANTILE_STEP * (1.0 - within);
     }
-    if (*estimate < LEAST) {
-        *estimate = LEAST;
+    if (*estimate < FACTOR_MIN) {
+        *estimate = FACTOR_MIN;
     }
 }
 
 void
-estimate_add_run(struct run_estimate *l, int64_t declared_us, int64_t ran_us)
+estimate_add_run(struct run_estimate *e, int64_t declared_us, int64_t ran_us)
 {
-    double ran = positive(ran_us);
-    double declared = positive(declared_us);
+    double ran = at_least_one_us(ran_us);
+    double declared = at_least_one_us(declared_us);
     double weight;
-    double over;
+    double factor;
 
-    if (l->samples == 0) {
-        l->mean_us = ran;
-        l->ratio = ran / declared;
-        l->p95_factor = TAIL_START;
-        l->p99_factor = TAIL_START;
+    if (e->samples == 0) {
+        e->mean_us = ran;
+        e->ratio = ran / declared;
+        e->p95_factor = INITIAL_FACTOR;
+        e->p99_factor = INITIAL_FACTOR;
     }
-    l->samples++;
-    weight = 1.0 / (double)l->samples;
-    weight = weight > SLOWEST ? weight : SLOWEST;
-    over = ran / positive(estimate_mean_us(l, declared_us));
-    learn_quantile(&l->p95_factor, TAIL_SHARE, over);
-    learn_quantile(&l->p99_factor, EXTREME, over);
-    blend(&l->mean_error, fabs(log(ran / l->mean_us)), weight);
-    blend(&l->ratio_error, fabs(log(ran / (l->ratio * declared))), weight);
-    blend(&l->mean_us, ran, weight);
-    blend(&l->ratio, ran / declared, weight);
+    e->samples++;
+    weight = 1.0 / (double)e->samples;
+    weight = weight > MEAN_WEIGHT_MIN ? weight : MEAN_WEIGHT_MIN;
+    factor = ran / at_least_one_us(estimate_mean_us(e, declared_us));
+    update_quantile(&e->p95_factor, P95, factor);
+    update_quantile(&e->p99_factor, P99, factor);
+    update_mean(&e->mean_error, fabs(log(ran / e->mean_us)), weight);
+    update_mean(&e->ratio_error, fabs(log(ran / (e->ratio * declared))),
+                weight);
+    update_mean(&e->mean_us, ran, weight);
+    update_mean(&e->ratio, ran / declared, weight);
 }
 
 int64_t
-estimate_sum_us(const struct run_estimate *l, uint32_t n, int64_t declared_us)
+estimate_sum_us(const struct run_estimate *e, uint32_t n, int64_t declared_us)
 {
-    if (l->samples < SAMPLES_ENOUGH) {
+    if (e->samples < SAMPLES_MIN) {
         return declared_us;
     }
-    if (declared_helps(l)) {
-        return (int64_t)(l->ratio * (double)declared_us);
+    if (declared_is_better(e)) {
+        return (int64_t)(e->ratio * (double)declared_us);
     }
-    return (int64_t)(l->mean_us * n);
+    return (int64_t)(e->mean_us * n);
 }
 
 int64_t
-estimate_mean_us(const struct run_estimate *l, int64_t declared_us)
+estimate_mean_us(const struct run_estimate *e, int64_t declared_us)
 {
-    return estimate_sum_us(l, 1, declared_us);
+    return estimate_sum_us(e, 1, declared_us);
 }
 
 int64_t
-estimate_p95_us(const struct run_estimate *l, int64_t declared_us)
+estimate_p95_us(const struct run_estimate *e, int64_t declared_us)
 {
-    double tail = l->samples < SAMPLES_ENOUGH ? TAIL_START : l->p95_factor;
+    double tail = e->samples < SAMPLES_MIN ? INITIAL_FACTOR : e->p95_factor;
 
-    return (int64_t)(tail * (double)estimate_mean_us(l, declared_us));
+    return (int64_t)(tail * (double)estimate_mean_us(e, declared_us));
 }
 
 int64_t
-estimate_longest_us(const struct run_estimate *l, uint32_t n,
+estimate_longest_us(const struct run_estimate *e, uint32_t n,
                     int64_t declared_us)
 {
-    if (n < MANY || l->samples < SAMPLES_ENOUGH) {
-        return estimate_p95_us(l, declared_us);
+    if (n < MANY_TASKS || e->samples < SAMPLES_MIN) {
+        return estimate_p95_us(e, declared_us);
     }
-    return (int64_t)(l->p99_factor * (double)estimate_mean_us(l, declared_us));
+    return (int64_t)(e->p99_factor * (double)estimate_mean_us(e, declared_us));
 }
--- a/src/estimate.h
+++ b/src/estimate.h
@@ -32,22 +32,22 @@
 
 /** estimate_add_run() - a task declared to take @declared_us ran for @ran_us
  */
-void estimate_add_run(struct run_estimate *l, int64_t declared_us,
+void estimate_add_run(struct run_estimate *e, int64_t declared_us,
                       int64_t ran_us);
 
 /** estimate_mean_us() - how long such a task will run, in the mean */
-int64_t estimate_mean_us(const struct run_estimate *l, int64_t declared_us);
+int64_t estimate_mean_us(const struct run_estimate *e, int64_t declared_us);
 
 /** estimate_sum_us() - of @n tasks declared to take @declared_us together */
-int64_t estimate_sum_us(const struct run_estimate *l, uint32_t n,
+int64_t estimate_sum_us(const struct run_estimate *e, uint32_t n,
                         int64_t declared_us);
 
 /** estimate_p95_us() - 19 of 20 such tasks end within this */
-int64_t estimate_p95_us(const struct run_estimate *l, int64_t declared_us);
+int64_t estimate_p95_us(const struct run_estimate *e, int64_t declared_us);
 
 /** estimate_longest_us() - within this the longest of @n such tasks ends, most
  * times */
-int64_t estimate_longest_us(const struct run_estimate *l, uint32_t n,
+int64_t estimate_longest_us(const struct run_estimate *e, uint32_t n,
                             int64_t declared_us);
 
 #endif
--- a/src/leaseclient.c
+++ b/src/leaseclient.c
@@ -12,7 +12,7 @@
 
 enum {
     EVENTS_MAX = 64,
-    READS_MAX = 8,          /* rounds of events in a row */
+    EVENT_ROUNDS_MAX = 8,   /* rounds of events in a row */
     IDLE_EASY_MAX = 64,     /* easy handles kept for later calls */
     READ_BUFFER = 4 * 1024, /* answers are short; libcurl's own is 16 KiB */
     URL_SIZE = ADDRESS_SIZE + LEASE_PATH_SIZE + 8,
@@ -31,7 +31,7 @@
     unsigned int attempts; /* times the request was about to be sent */
     char *answer;
     size_t size;
-    size_t room;
+    size_t answer_capacity;
     struct leaseclient *client;
 };
 
@@ -168,7 +168,7 @@
 }
 
 static size_t
-take_answer(const char *data, size_t size, size_t n, void *user)
+append_answer(const char *data, size_t size, size_t n, void *user)
 {
     struct call *call = user;
     size_t bytes = size * n;
@@ -176,15 +176,15 @@
     if (call->size + bytes > call->client->opts.answer_bytes_max) {
         return 0;
     }
-    if (call->size + bytes > call->room) {
-        size_t room = 2 * (call->size + bytes);
-        char *grown = realloc(call->answer, room);
+    if (call->size + bytes > call->answer_capacity) {
+        size_t answer_capacity = 2 * (call->size + bytes);
+        char *grown = realloc(call->answer, answer_capacity);
 
         if (grown == NULL) {
             return 0;
         }
         call->answer = grown;
-        call->room = room;
+        call->answer_capacity = answer_capacity;
     }
     memcpy(call->answer + call->size, data, bytes);
     call->size += bytes;
@@ -227,7 +227,7 @@
 /* NOLINTEND(readability-non-const-parameter) */
 
 static CURL *
-easy_take(struct leaseclient *c)
+easy_get(struct leaseclient *c)
 {
     CURL *easy = c->n_idle > 0 ? c->idle[--c->n_idle] : curl_easy_init();
 
@@ -238,7 +238,7 @@
 }
 
 static void
-easy_give_back(struct leaseclient *c, CURL *easy)
+easy_put(struct leaseclient *c, CURL *easy)
 {
     if (c->n_idle == IDLE_EASY_MAX) {
         curl_easy_cleanup(easy);
@@ -261,7 +261,7 @@
 }
 
 static void
-prepare(struct call *call, const struct leaseclient_options *o)
+set_easy_options(struct call *call, const struct leaseclient_options *o)
 {
     CURL *easy = call->easy;
     struct lease_http_request wire = {0};
@@ -287,7 +287,7 @@
     curl_easy_setopt(easy, CURLOPT_SOCKOPTDATA, call);
     curl_easy_setopt(easy, CURLOPT_PREREQFUNCTION, before_request);
     curl_easy_setopt(easy, CURLOPT_PREREQDATA, call);
-    curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, take_answer);
+    curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, append_answer);
     curl_easy_setopt(easy, CURLOPT_WRITEDATA, call);
 }
 
@@ -302,10 +302,10 @@
     call->request = from->request;
     from->request.spec = NULL;
     call->client = c;
-    call->easy = easy_take(c);
+    call->easy = easy_get(c);
     restart_timeout(call);
     timers_add(&c->timeouts, call->due_us, h);
-    prepare(call, &c->opts);
+    set_easy_options(call, &c->opts);
     stats_add(&stats.calls_begun, 1);
     if (curl_multi_add_handle(c->multi, call->easy) != CURLM_OK) {
         abort(); /* only when memory is out */
@@ -314,14 +314,15 @@
 
 /* An earlier attempt may have been carried out, or may yet be. */
 static bool
-refuses_only_later_attempt(const struct call *call, enum lease_result result)
+refused_after_earlier_attempt(const struct call *call,
+                              enum lease_result result)
 {
     return call->request.kind == LEASE_START && call->attempts > 1 &&
            result != LEASE_OK;
 }
 
 static void
-finish(struct leaseclient *c, struct call *call, CURLcode result)
+report_outcome(struct leaseclient *c, struct call *call, CURLcode result)
 {
     struct lease_answer answer = {.result = LEASE_NO_ANSWER};
     long status = 0;
@@ -331,7 +332,7 @@
         c->opts.codec->decode(&call->request, status,
                               call->answer != NULL ? call->answer : "",
                               call->size, &answer);
-        if (refuses_only_later_attempt(call, answer.result)) {
+        if (refused_after_earlier_attempt(call, answer.result)) {
             lease_answer_clear(&answer);
             answer.result = LEASE_NO_ANSWER;
         }
@@ -345,14 +346,14 @@
 static void
 end_call(struct leaseclient *c, struct call *call, CURLcode result)
 {
-    finish(c, call, result);
+    report_outcome(c, call, result);
     curl_multi_remove_handle(c->multi, call->easy);
-    easy_give_back(c, call->easy);
+    easy_put(c, call->easy);
     call_free(call);
 }
 
 static void
-end_finished(struct leaseclient *c)
+end_completed(struct leaseclient *c)
 {
     CURLMsg *msg;
     int left;
@@ -369,7 +370,7 @@
 }
 
 static void
-end_overdue(struct leaseclient *c, int64_t until_us)
+end_timed_out(struct leaseclient *c, int64_t until_us)
 {
     struct handle h;
 
@@ -394,7 +395,7 @@
 }
 
 static int64_t
-in_ms(int64_t at_us, int64_t from_us)
+ms_until(int64_t at_us, int64_t from_us)
 {
     return at_us > from_us ? (at_us - from_us) / USEC_PER_MSEC + 1 : 0;
 }
@@ -402,7 +403,7 @@
 /* When the next call that is still under way may be overdue; most end long
  * before, and nobody need wake for them. */
 static int64_t
-next_overdue_us(struct leaseclient *c)
+next_timeout_us(struct leaseclient *c)
 {
     struct handle h;
 
@@ -416,7 +417,7 @@
 int64_t
 leaseclient_next_ms(struct leaseclient *c)
 {
-    int64_t at_us = next_overdue_us(c);
+    int64_t at_us = next_timeout_us(c);
 
     if (c->due_now) {
         return 0;
@@ -424,11 +425,11 @@
     if (c->due_us != NEVER && c->due_us < at_us) {
         at_us = c->due_us;
     }
-    return at_us == INT64_MAX ? -1 : in_ms(at_us, now_us(c));
+    return at_us == INT64_MAX ? -1 : ms_until(at_us, now_us(c));
 }
 
 static void
-act_on(struct leaseclient *c, const struct epoll_event *e)
+handle_event(struct leaseclient *c, const struct epoll_event *e)
 {
     int what = 0;
     int running;
@@ -441,15 +442,15 @@
 
 /* Whether all that had come was read. */
 static bool
-run_sockets(struct leaseclient *c)
+handle_events(struct leaseclient *c)
 {
     struct epoll_event events[EVENTS_MAX];
     int n = EVENTS_MAX;
 
-    for (int round = 0; n == EVENTS_MAX && round < READS_MAX; round++) {
+    for (int round = 0; n == EVENTS_MAX && round < EVENT_ROUNDS_MAX; round++) {
         n = epoll_wait(c->epoll, events, EVENTS_MAX, 0);
         for (int i = 0; i < n; i++) {
-            act_on(c, &events[i]);
+            handle_event(c, &events[i]);
         }
     }
     return n < EVENTS_MAX;
@@ -462,7 +463,7 @@
 leaseclient_run(struct leaseclient *c)
 {
     int64_t begun_us = now_us(c);
-    bool all_read = run_sockets(c);
+    bool all_read = handle_events(c);
     int running;
 
     if (c->due_now || (c->due_us != NEVER && begun_us >= c->due_us)) {
@@ -471,8 +472,8 @@
         (void)curl_multi_socket_action(c->multi, CURL_SOCKET_TIMEOUT, 0,
                                        &running);
     }
-    end_finished(c);
+    end_completed(c);
     if (all_read) {
-        end_overdue(c, begun_us);
+        end_timed_out(c, begun_us);
     }
 }
--- a/src/registry.c
+++ b/src/registry.c
@@ -9,49 +9,49 @@
 /* A life that was replaced by one with an earlier time of birth (its machine's
  * clock was set back in between) is believed gone after this silence: more
  * than two announcements are missing then. */
-#define LIFE_SILENT_US (4 * USEC_PER_SEC)
+#define INCARNATION_SILENT_US (4 * USEC_PER_SEC)
 /* Announced again after such a gap, an upstream is told to the brokers as if
  * it were new: they may have forgotten it. */
-#define GAP_US (5 * USEC_PER_SEC)
+#define REPORT_AGAIN_GAP_US (5 * USEC_PER_SEC)
 /* Ten announcements missing: it speaks elsewhere now, or not at all. */
-#define FORGET_US (15 * USEC_PER_SEC)
+#define REMOVE_AFTER_US (15 * USEC_PER_SEC)
 /* Between reports of everything; costs 150 bytes an upstream and broker. */
-#define REPEAT_US (20 * USEC_PER_SEC)
+#define REPORT_ALL_US (20 * USEC_PER_SEC)
 /* A broker gone for so long leaves the roster. */
-#define BROKER_GONE_US (30 * USEC_PER_SEC)
+#define BROKER_REMOVE_US (30 * USEC_PER_SEC)
 /* Brokers are told of others together, so long after the first of them came:
  * all of a region start within 0.3 s.  One that comes is told of the others at
  * once and connects to them by itself. */
-#define ROSTER_PAUSE_US (200 * USEC_PER_MSEC)
+#define ROSTER_DELAY_US (200 * USEC_PER_MSEC)
 /* Upstreams that changed are told of together, so long after the first: all of
  * a region announce themselves within 1.5 s, and a message for each to every
  * broker is most of what brokers take in that time. */
-#define REPORT_PAUSE_US (30 * USEC_PER_MSEC)
+#define REPORT_DELAY_US (30 * USEC_PER_MSEC)
 
 /* Changes are written to the disk together, so long after the first: a write
  * takes three syncs, and publications wait behind it.  That one leaves is
  * written when brokers are told: after a power loss right then they would else
  * give it work until it says so again. */
-#define SAVE_PAUSE_US (1 * USEC_PER_SEC)
+#define SAVE_DELAY_US (1 * USEC_PER_SEC)
 
 /* An upstream, as it announced itself last. */
-struct announced {
+struct announced_upstream {
     struct name name; /* first: looked up by it */
     struct rec_leased_upstream info;
-    int64_t heard_us;
-    bool told; /* to the brokers, as it is now */
-    struct announced *next;
+    int64_t last_announced_us;
+    bool is_reported; /* to the brokers, as it is now */
+    struct announced_upstream *next;
 };
 
 struct registry {
     struct map by_name;
-    struct announced *upstreams;
+    struct announced_upstream *upstreams;
     size_t n_upstreams;
     struct roster roster;
     struct rec_instance *registries; /* as control knows them */
     size_t n_registries;
-    int64_t repeat_us;
-    int64_t tell_us;   /* of brokers that came; INT64_MAX for none */
+    int64_t report_all_us;
+    int64_t roster_us; /* of brokers that came; INT64_MAX for none */
     int64_t report_us; /* of upstreams that changed; INT64_MAX for none */
     int64_t save_us;   /* those there are; INT64_MAX for no change */
 };
@@ -64,7 +64,7 @@
     if (r == NULL) {
         abort();
     }
-    r->tell_us = INT64_MAX;
+    r->roster_us = INT64_MAX;
     r->report_us = INT64_MAX;
     r->save_us = INT64_MAX;
     map_init(&r->by_name, MAP_NAME);
@@ -88,7 +88,7 @@
 }
 
 static void
-free_upstream(struct announced *u)
+free_upstream(struct announced_upstream *u)
 {
     free(u->info.labels);
     free(u);
@@ -101,7 +101,7 @@
         return;
     }
     while (r->upstreams != NULL) {
-        struct announced *u = r->upstreams;
+        struct announced_upstream *u = r->upstreams;
 
         r->upstreams = u->next;
         free_upstream(u);
@@ -126,8 +126,8 @@
 /* What is known of the broker's zone, all or what it was not told yet: brokers
  * hold upstreams of their own zone alone. */
 static void
-report_to(const struct registry *r, struct control_effects *fx,
-          const struct listener *to, bool untold_only)
+send_report(const struct registry *r, struct control_effects *fx,
+            const struct roster_broker *to, bool unreported_only)
 {
     struct msg m = {.kind = MSG_UPSTREAM_REPORT};
     struct rec_leased_upstream *items =
@@ -137,62 +137,65 @@
     if (items == NULL) {
         abort();
     }
-    for (const struct announced *u = r->upstreams; u != NULL; u = u->next) {
+    for (const struct announced_upstream *u = r->upstreams; u != NULL;
+         u = u->next) {
         if (name_equal(u->info.zone, to->info.zone) &&
-            !(untold_only && u->told)) {
+            !(unreported_only && u->is_reported)) {
             items[n++] = u->info;
         }
     }
     m.u.upstream_report.upstreams = items;
     m.u.upstream_report.n_upstreams = n;
-    if (n > 0 || !untold_only) {
+    if (n > 0 || !unreported_only) {
         send_to(fx, to->name, &m);
     }
     free(items);
 }
 
 static void
-report_changed(struct registry *r, struct control_effects *fx)
+report_changes(struct registry *r, struct control_effects *fx)
 {
-    for (const struct listener *b = r->roster.brokers; b != NULL;
+    for (const struct roster_broker *b = r->roster.brokers; b != NULL;
          b = b->next) {
         if (b->up) {
-            report_to(r, fx, b, true);
+            send_report(r, fx, b, true);
         }
     }
-    for (struct announced *u = r->upstreams; u != NULL; u = u->next) {
-        u->told = true;
+    for (struct announced_upstream *u = r->upstreams; u != NULL; u = u->next) {
+        u->is_reported = true;
     }
 }
 
 static void
-save_after(struct registry *r, struct moment now, int64_t pause_us)
+schedule_save(struct registry *r, struct moment now, int64_t delay_us)
 {
-    int64_t at_us = now.mono_us + pause_us;
+    int64_t at_us = now.mono_us + delay_us;
 
     r->save_us = at_us < r->save_us ? at_us : r->save_us;
 }
 
 static void
-note_changed(struct registry *r, struct announced *u, struct moment now)
+mark_changed(struct registry *r, struct announced_upstream *u,
+             struct moment now)
 {
-    u->told = false;
+    u->is_reported = false;
     if (r->report_us == INT64_MAX) {
-        r->report_us = now.mono_us + REPORT_PAUSE_US;
+        r->report_us = now.mono_us + REPORT_DELAY_US;
     }
-    save_after(r, now, u->info.leaving != 0 ? REPORT_PAUSE_US : SAVE_PAUSE_US);
+    schedule_save(r, now,
+                  u->info.leaving != 0 ? REPORT_DELAY_US : SAVE_DELAY_US);
 }
 
 static void
 send_roster(const struct registry *r, struct control_effects *fx,
-            const struct listener *to, bool fresh_only)
+            const struct roster_broker *to, bool pending_only)
 {
     struct msg m = {.kind = MSG_ROSTER};
     struct rec_roster *list = &m.u.roster;
 
     list->n_brokers =
-        roster_select(&r->roster, to, fresh_only, &list->brokers);
-    if (!fresh_only || list->n_brokers > 0) {
+        roster_select(&r->roster, to, pending_only, &list->brokers);
+    if (!pending_only || list->n_brokers > 0) {
         list->registries = r->registries;
         list->n_registries = r->n_registries;
         send_to(fx, to->name, &m);
@@ -202,12 +205,12 @@
 
 static void
 send_rosters(const struct registry *r, struct control_effects *fx,
-             bool fresh_only)
+             bool pending_only)
 {
-    for (const struct listener *b = r->roster.brokers; b != NULL;
+    for (const struct roster_broker *b = r->roster.brokers; b != NULL;
          b = b->next) {
         if (b->up) {
-            send_roster(r, fx, b, fresh_only);
+            send_roster(r, fx, b, pending_only);
         }
     }
 }
@@ -215,19 +218,19 @@
 /* Upstreams */
 
 static bool
-overtaken(const struct announced *known, const struct rec_leased_upstream *u,
-          struct moment now)
+is_outdated(const struct announced_upstream *known,
+            const struct rec_leased_upstream *u, struct moment now)
 {
     if (u->born_ms == known->info.born_ms) {
         return u->sequence <= known->info.sequence;
     }
     return u->born_ms < known->info.born_ms &&
-           now.mono_us - known->heard_us < LIFE_SILENT_US;
+           now.mono_us - known->last_announced_us < INCARNATION_SILENT_US;
 }
 
 static bool
-news(const struct announced *known, const struct rec_leased_upstream *u,
-     struct moment now)
+is_change(const struct announced_upstream *known,
+          const struct rec_leased_upstream *u, struct moment now)
 {
     const struct rec_leased_upstream *k = &known->info;
 
@@ -237,13 +240,13 @@
            k->accelerators != u->accelerators ||
            !name_equal(k->service, u->service) ||
            strcmp(k->address.s, u->address.s) != 0 ||
-           now.mono_us - known->heard_us > GAP_US;
+           now.mono_us - known->last_announced_us > REPORT_AGAIN_GAP_US;
 }
 
-static struct announced *
+static struct announced_upstream *
 add_upstream(struct registry *r, struct name name)
 {
-    struct announced *u = calloc(1, sizeof(*u));
+    struct announced_upstream *u = calloc(1, sizeof(*u));
 
     if (u == NULL) {
         abort();
@@ -258,8 +261,8 @@
 
 /* A goodbye says no more than that: the rest stays as it was. */
 static enum registry_result
-take_goodbye(struct registry *r, struct announced *known,
-             const struct rec_leased_upstream *u, struct moment now)
+mark_gone(struct registry *r, struct announced_upstream *known,
+          const struct rec_leased_upstream *u, struct moment now)
 {
     if (known == NULL ||
         (u->born_ms != 0 && u->born_ms != known->info.born_ms)) {
@@ -268,7 +271,7 @@
     known->info.leaving = 1;
     known->info.gone = 1;
     known->info.sequence++;
-    note_changed(r, known, now);
+    mark_changed(r, known, now);
     return REGISTRY_CHANGED;
 }
 
@@ -276,13 +279,13 @@
 registry_announce(struct registry *r, const struct rec_leased_upstream *u,
                   struct moment now)
 {
-    struct announced *known = map_get(&r->by_name, &u->upstream);
-    bool changed = known == NULL || news(known, u, now);
+    struct announced_upstream *known = map_get(&r->by_name, &u->upstream);
+    bool changed = known == NULL || is_change(known, u, now);
 
     if (u->gone != 0) {
-        return take_goodbye(r, known, u, now);
+        return mark_gone(r, known, u, now);
     }
-    if (known != NULL && overtaken(known, u, now)) {
+    if (known != NULL && is_outdated(known, u, now)) {
         return REGISTRY_STALE;
     }
     if (known == NULL) {
@@ -290,19 +293,19 @@
     }
     free(known->info.labels);
     known->info = copy_info(u);
-    known->heard_us = now.mono_us;
+    known->last_announced_us = now.mono_us;
     if (changed) {
-        note_changed(r, known, now);
+        mark_changed(r, known, now);
     }
     return changed ? REGISTRY_CHANGED : REGISTRY_UNCHANGED;
 }
 
 void
-registry_restore(struct registry *r, const struct rec_upstream_report *kept,
+registry_restore(struct registry *r, const struct rec_upstream_report *saved,
                  struct moment now)
 {
-    for (size_t i = 0; i < kept->n_upstreams; i++) {
-        (void)registry_announce(r, &kept->upstreams[i], now);
+    for (size_t i = 0; i < saved->n_upstreams; i++) {
+        (void)registry_announce(r, &saved->upstreams[i], now);
     }
 }
 
@@ -318,7 +321,8 @@
     if (all->upstreams == NULL) {
         abort();
     }
-    for (const struct announced *u = r->upstreams; u != NULL; u = u->next) {
+    for (const struct announced_upstream *u = r->upstreams; u != NULL;
+         u = u->next) {
         if (u->info.leaving == 0 && u->info.gone == 0) {
             all->upstreams[all->n_upstreams++] = u->info;
         }
@@ -329,14 +333,14 @@
 }
 
 static void
-forget_silent(struct registry *r, struct moment now)
+remove_silent(struct registry *r, struct moment now)
 {
-    struct announced **at = &r->upstreams;
+    struct announced_upstream **at = &r->upstreams;
 
     while (*at != NULL) {
-        struct announced *u = *at;
+        struct announced_upstream *u = *at;
 
-        if (now.mono_us - u->heard_us < FORGET_US) {
+        if (now.mono_us - u->last_announced_us < REMOVE_AFTER_US) {
             at = &u->next;
             continue;
         }
@@ -344,7 +348,7 @@
         r->n_upstreams--;
         (void)map_remove(&r->by_name, &u->name);
         free_upstream(u);
-        save_after(r, now, 0);
+        schedule_save(r, now, 0);
     }
 }
 
@@ -355,14 +359,14 @@
                 const struct rec_introduction *i, struct moment now,
                 struct control_effects *fx)
 {
-    struct listener *b = roster_update(&r->roster, from, i, now.mono_us);
+    struct roster_broker *b = roster_update(&r->roster, from, i, now.mono_us);
 
-    if (b->fresh && r->tell_us == INT64_MAX) {
-        r->tell_us = now.mono_us + ROSTER_PAUSE_US;
+    if (b->announce_pending && r->roster_us == INT64_MAX) {
+        r->roster_us = now.mono_us + ROSTER_DELAY_US;
     }
     if (i->again == 0) {
         send_roster(r, fx, b, false);
-        report_to(r, fx, b, false);
+        send_report(r, fx, b, false);
     }
 }
 
@@ -400,7 +404,7 @@
 registry_on_connection(struct registry *r, struct name peer, bool up,
                        struct moment now)
 {
-    struct listener *b = roster_find(&r->roster, peer);
+    struct roster_broker *b = roster_find(&r->roster, peer);
 
     if (b != NULL && !up) {
         b->up = false;
@@ -409,15 +413,15 @@
 }
 
 static void
-repeat_all(struct registry *r, struct moment now, struct control_effects *fx)
+send_all(struct registry *r, struct moment now, struct control_effects *fx)
 {
-    forget_silent(r, now);
-    roster_remove_stale(&r->roster, now.mono_us - BROKER_GONE_US);
+    remove_silent(r, now);
+    roster_remove_stale(&r->roster, now.mono_us - BROKER_REMOVE_US);
     send_rosters(r, fx, false);
-    for (const struct listener *b = r->roster.brokers; b != NULL;
+    for (const struct roster_broker *b = r->roster.brokers; b != NULL;
          b = b->next) {
         if (b->up) {
-            report_to(r, fx, b, false);
+            send_report(r, fx, b, false);
         }
     }
 }
@@ -428,27 +432,28 @@
 {
     if (now.mono_us >= r->report_us) {
         r->report_us = INT64_MAX;
-        report_changed(r, fx);
+        report_changes(r, fx);
     }
     if (now.mono_us >= r->save_us) {
         r->save_us = INT64_MAX;
         save(r, fx);
     }
-    if (now.mono_us >= r->tell_us) {
-        r->tell_us = INT64_MAX;
+    if (now.mono_us >= r->roster_us) {
+        r->roster_us = INT64_MAX;
         send_rosters(r, fx, true);
         roster_mark_announced(&r->roster);
     }
-    if (now.mono_us >= r->repeat_us) {
-        r->repeat_us = now.mono_us + REPEAT_US;
-        repeat_all(r, now, fx);
+    if (now.mono_us >= r->report_all_us) {
+        r->report_all_us = now.mono_us + REPORT_ALL_US;
+        send_all(r, now, fx);
     }
 }
 
 int64_t
 registry_next_us(const struct registry *r)
 {
-    int64_t at = r->tell_us < r->repeat_us ? r->tell_us : r->repeat_us;
+    int64_t at =
+        r->roster_us < r->report_all_us ? r->roster_us : r->report_all_us;
 
     at = r->report_us < at ? r->report_us : at;
     return r->save_us < at ? r->save_us : at;
@@ -459,7 +464,7 @@
 {
     struct registry_gauges g = {.upstreams = r->n_upstreams};
 
-    for (const struct listener *b = r->roster.brokers; b != NULL;
+    for (const struct roster_broker *b = r->roster.brokers; b != NULL;
          b = b->next) {
         g.brokers_up += b->up ? 1 : 0;
     }
--- a/src/registry.h
+++ b/src/registry.h
@@ -43,7 +43,7 @@
  * process; of a life or a number of announcements that is known already it
  * changes nothing */
 void registry_restore(struct registry *r,
-                      const struct rec_upstream_report *kept,
+                      const struct rec_upstream_report *saved,
                       struct moment now);
 
 /** registry_announce() - an upstream says how it is; @u is copied.  Of one
--- a/src/roster.c
+++ b/src/roster.c
@@ -7,7 +7,7 @@
 
 /* A broker that may be told of, with its place among those of its zone. */
 struct candidate {
-    const struct listener *broker;
+    const struct roster_broker *broker;
     uint64_t weight; /* differs between receivers */
 };
 
@@ -15,17 +15,17 @@
 roster_free(struct roster *r)
 {
     while (r->brokers != NULL) {
-        struct listener *b = r->brokers;
+        struct roster_broker *b = r->brokers;
 
         r->brokers = b->next;
         free(b);
     }
 }
 
-struct listener *
+struct roster_broker *
 roster_find(const struct roster *r, struct name name)
 {
-    struct listener *b = r->brokers;
+    struct roster_broker *b = r->brokers;
 
     while (b != NULL && !name_equal(b->name, name)) {
         b = b->next;
@@ -33,10 +33,10 @@
     return b;
 }
 
-static struct listener *
-add(struct roster *r, struct name name)
+static struct roster_broker *
+add_broker(struct roster *r, struct name name)
 {
-    struct listener *b = calloc(1, sizeof(*b));
+    struct roster_broker *b = calloc(1, sizeof(*b));
 
     if (b == NULL) {
         abort();
@@ -48,22 +48,24 @@
 }
 
 static bool
-same(const struct rec_introduction *a, const struct rec_introduction *b)
+same_introduction(const struct rec_introduction *a,
+                  const struct rec_introduction *b)
 {
     return a->holds == b->holds && name_equal(a->zone, b->zone) &&
            strcmp(a->address.s, b->address.s) == 0;
 }
 
-struct listener *
+struct roster_broker *
 roster_update(struct roster *r, struct name name,
               const struct rec_introduction *i, int64_t now_us)
 {
-    struct listener *b = roster_find(r, name);
+    struct roster_broker *b = roster_find(r, name);
 
     if (b == NULL) {
-        b = add(r, name);
+        b = add_broker(r, name);
     }
-    b->fresh = b->fresh || !b->up || !same(&b->info, i);
+    b->announce_pending =
+        b->announce_pending || !b->up || !same_introduction(&b->info, i);
     b->info = *i;
     b->up = true;
     b->changed_us = now_us;
@@ -73,10 +75,10 @@
 void
 roster_remove_stale(struct roster *r, int64_t before_us)
 {
-    struct listener **at = &r->brokers;
+    struct roster_broker **at = &r->brokers;
 
     while (*at != NULL) {
-        struct listener *b = *at;
+        struct roster_broker *b = *at;
 
         if (b->up || b->changed_us > before_us) {
             at = &b->next;
@@ -90,15 +92,15 @@
 void
 roster_mark_announced(struct roster *r)
 {
-    for (struct listener *b = r->brokers; b != NULL; b = b->next) {
-        b->fresh = false;
+    for (struct roster_broker *b = r->brokers; b != NULL; b = b->next) {
+        b->announce_pending = false;
     }
 }
 
 /* Whom to tell */
 
 static int
-compare(const void *x, const void *y)
+compare_candidates(const void *x, const void *y)
 {
     const struct candidate *a = x;
     const struct candidate *b = y;
@@ -118,13 +120,13 @@
 
 /* Zone by zone, the best of each zone first. */
 static struct candidate *
-ranked(const struct roster *r, const struct listener *to, size_t *n)
+rank_brokers(const struct roster *r, const struct roster_broker *to, size_t *n)
 {
     uint64_t seed = XXH3_64bits(to->name.s, strlen(to->name.s));
     struct candidate *list;
     size_t most = 0;
 
-    for (const struct listener *b = r->brokers; b != NULL; b = b->next) {
+    for (const struct roster_broker *b = r->brokers; b != NULL; b = b->next) {
         most++;
     }
     list = calloc(most + 1, sizeof(*list));
@@ -132,22 +134,22 @@
         abort();
     }
     *n = 0;
-    for (const struct listener *b = r->brokers; b != NULL; b = b->next) {
+    for (const struct roster_broker *b = r->brokers; b != NULL; b = b->next) {
         list[*n].broker = b;
         list[*n].weight =
             XXH3_64bits_withSeed(b->name.s, strlen(b->name.s), seed);
         (*n)++;
     }
-    qsort(list, *n, sizeof(*list), compare);
+    qsort(list, *n, sizeof(*list), compare_candidates);
     return list;
 }
 
 size_t
-roster_select(const struct roster *r, const struct listener *to,
-              bool fresh_only, struct rec_instance **list)
+roster_select(const struct roster *r, const struct roster_broker *to,
+              bool pending_only, struct rec_instance **list)
 {
     size_t n_ranked;
-    struct candidate *all = ranked(r, to, &n_ranked);
+    struct candidate *all = rank_brokers(r, to, &n_ranked);
     size_t in_zone = 0; /* place among those of the same zone */
     size_t n = 0;
 
@@ -156,12 +158,12 @@
         abort();
     }
     for (size_t i = 0; i < n_ranked; i++) {
-        const struct listener *b = all[i].broker;
-        bool another =
+        const struct roster_broker *b = all[i].broker;
+        bool first_of_zone =
             i == 0 || !name_equal(all[i - 1].broker->info.zone, b->info.zone);
 
-        in_zone = another ? 0 : in_zone + 1;
-        if ((fresh_only && (!b->fresh || b == to)) ||
+        in_zone = first_of_zone ? 0 : in_zone + 1;
+        if ((pending_only && (!b->announce_pending || b == to)) ||
             (in_zone >= ROSTER_REMOTE_ZONE_MAX &&
              !name_equal(b->info.zone, to->info.zone))) {
             continue;
--- a/src/roster.h
+++ b/src/roster.h
@@ -23,33 +23,33 @@
  * @name: first: looked up by it
  * @info: as it introduced itself last
  * @up: there is a connection
- * @fresh: the others have not been told of it as it is now
+ * @announce_pending: the others have not been told of it as it is now
  * @changed_us: when it came or went, monotonic
  */
-struct listener {
+struct roster_broker {
     struct name name;
     struct rec_introduction info;
     bool up;
-    bool fresh;
+    bool announce_pending;
     int64_t changed_us;
-    struct listener *next;
+    struct roster_broker *next;
 };
 
 /** struct roster - all brokers that introduced themselves */
 struct roster {
-    struct listener *brokers;
+    struct roster_broker *brokers;
 };
 
 void roster_free(struct roster *r);
 
 /** roster_find() - the broker of that name, or NULL */
-struct listener *roster_find(const struct roster *r, struct name name);
+struct roster_broker *roster_find(const struct roster *r, struct name name);
 
-/** roster_update() - a broker introduces itself; returns it, with @fresh set
- * where the others should hear of it */
-struct listener *roster_update(struct roster *r, struct name name,
-                               const struct rec_introduction *i,
-                               int64_t now_us);
+/** roster_update() - a broker introduces itself; returns it, with
+ * @announce_pending set where the others should hear of it */
+struct roster_broker *roster_update(struct roster *r, struct name name,
+                                    const struct rec_introduction *i,
+                                    int64_t now_us);
 
 /** roster_remove_stale() - drops those that are down since before @before_us
  */
@@ -62,9 +62,9 @@
  * each other zone at most ROSTER_REMOTE_ZONE_MAX, those that hold upstreams
  * first and among equals others for each receiver, so that their load is
  * spread.  With
- * @fresh_only just the fresh among the others.  Returns how many; *@list is
+ * @pending_only just the fresh among the others.  Returns how many; *@list is
  * the caller's to free. */
-size_t roster_select(const struct roster *r, const struct listener *to,
-                     bool fresh_only, struct rec_instance **list);
+size_t roster_select(const struct roster *r, const struct roster_broker *to,
+                     bool pending_only, struct rec_instance **list);
 
 #endif
--- a/tests/registry_test.c
+++ b/tests/registry_test.c
@@ -239,7 +239,7 @@
         one.address = address_of("127.0.0.1:1");
         (void)roster_update(&roster, numbered("broker", i), &one, SEC);
     }
-    for (const struct listener *to = roster.brokers; to != NULL;
+    for (const struct roster_broker *to = roster.brokers; to != NULL;
          to = to->next) {
         struct rec_instance *list;
         size_t n = roster_select(&roster, to, false, &list);
