--- a/src/broker_hold.c
+++ b/src/broker_hold.c
@@ -143,8 +143,8 @@
               uint64_t fence)
 {
     broker_log(b, LOG_WARNING, BROKER_UPSTREAM_FENCED, 0, -1, u->name,
-               "our fence %llu, that of %s %llu", (unsigned long long)u->fence,
-               by.s, (unsigned long long)fence);
+               "own fence %llu, fence of %s %llu",
+               (unsigned long long)u->fence, by.s, (unsigned long long)fence);
     u->fence = fence;
     mark_lost(b, u);
 }
@@ -224,7 +224,7 @@
     u->poll_us = b->now.mono_us;
     b->counters.upstreams_taken++;
     broker_log(b, LOG_INFO, BROKER_UPSTREAM_TAKEN, 0, -1, u->name,
-               "fence %llu, life %llu", (unsigned long long)u->fence,
+               "fence %llu, incarnation %llu", (unsigned long long)u->fence,
                (unsigned long long)u->born_ms);
     add_hold_update(b, u);
 }
@@ -272,7 +272,7 @@
         return;
     }
     broker_log(b, LOG_WARNING, BROKER_UPSTREAM_FENCED, 0, -1, u->name,
-               "our fence %llu", (unsigned long long)u->fence);
+               "own fence %llu", (unsigned long long)u->fence);
     mark_lost(b, u);
     u->holder = name_of("");
     u->fence_retries = 0;
@@ -286,7 +286,7 @@
 hold_on_restart(struct broker *b, struct broker_upstream *u, uint64_t born_ms)
 {
     broker_log(b, LOG_NOTICE, BROKER_UPSTREAM_REBORN, 0, -1, u->name,
-               "life %llu after %llu, %zu tasks were there",
+               "incarnation %llu after %llu, %zu tasks were placed",
                (unsigned long long)born_ms, (unsigned long long)u->born_ms,
                u->n_tasks);
     u->born_ms = born_ms;
@@ -317,8 +317,9 @@
     u->granted_until_us = b->now.mono_us + b->opts.lease_us;
     u->service->placement_due = true;
     broker_log(b, LOG_INFO, BROKER_UPSTREAM_OPEN, 0, -1, u->name,
-               "%u milli-cores, %u MB, life %llu", u->capacity.cpu_milli,
-               u->capacity.memory_mb, (unsigned long long)u->born_ms);
+               "%u milli-cores, %u MB, incarnation %llu",
+               u->capacity.cpu_milli, u->capacity.memory_mb,
+               (unsigned long long)u->born_ms);
 }
 
 void
@@ -333,7 +334,7 @@
         u->state = HOLD_OPEN;
         u->service->placement_due = true;
         broker_log(b, LOG_NOTICE, BROKER_UPSTREAM_BACK, 0, -1, u->name,
-                   "%zu tasks there", u->n_tasks);
+                   "%zu tasks placed", u->n_tasks);
     }
     if (u->n_tasks > 0 || u->ack_pending || u->state == HOLD_TAKING ||
         u->unknown_runs) {
@@ -352,8 +353,8 @@
         u->state = HOLD_UNRESPONSIVE;
         b->counters.upstreams_muted++;
         broker_log(b, LOG_WARNING, BROKER_UPSTREAM_MUTE, 0, -1, u->name,
-                   "%u looks without answer, %zu tasks there", u->missed_polls,
-                   u->n_tasks);
+                   "%u polls without answer, %zu tasks placed",
+                   u->missed_polls, u->n_tasks);
     }
     u->poll_us = b->now.mono_us;
     if (u->state == HOLD_UNRESPONSIVE || u->missed_polls >= MISSED_POLLS_MAX) {
@@ -400,8 +401,8 @@
     copy_labels(u, r);
     if (leaving && !u->leaving) {
         broker_log(b, LOG_NOTICE, BROKER_UPSTREAM_LEAVING, 0, -1, u->name,
-                   "%zu tasks there%s", u->n_tasks,
-                   r->gone ? ", it said goodbye" : "");
+                   "%zu tasks placed%s", u->n_tasks,
+                   r->gone ? ", announced as gone" : "");
     }
     u->leaving = leaving;
     u->gone = r->gone != 0;
--- a/src/broker_runtime.c
+++ b/src/broker_runtime.c
@@ -550,15 +550,15 @@
     int n;
 
     if (h == NULL) {
-        log_event(LOG_ERR, "not-started", listen, "HTTP server: %s",
-                  strerror(errno));
+        log_event(LOG_ERR, "not-started", listen,
+                  "cannot start HTTP server: %s", strerror(errno));
         return NULL;
     }
     n = httpapi_fds(h, fds);
     for (int i = 0; i < n; i++) {
         if (!watch_fd(r, fds[i], h)) {
-            log_event(LOG_ERR, "not-started", listen, "epoll: %s",
-                      strerror(errno));
+            log_event(LOG_ERR, "not-started", listen,
+                      "cannot add HTTP server to epoll: %s", strerror(errno));
             httpapi_free(h);
             return NULL;
         }
@@ -605,7 +605,8 @@
     r->upstreams = leaseclient_new(&upstreams);
     if (r->upstreams == NULL ||
         !watch_fd(r, leaseclient_fd(r->upstreams), r->upstreams)) {
-        log_event(LOG_ERR, "not-started", NULL, "libcurl");
+        log_event(LOG_ERR, "not-started", NULL,
+                  "cannot set up libcurl for calls to upstreams");
         return false;
     }
     peers.on_message = on_message;
@@ -614,7 +615,8 @@
     peers.clock = r->opts.clock;
     r->peers = peer_new(&peers);
     if (r->peers == NULL) {
-        log_event(LOG_ERR, "not-started", peers.listen.s, "connections: %s",
+        log_event(LOG_ERR, "not-started", peers.listen.s,
+                  "cannot set up connections to other processes: %s",
                   strerror(errno));
         return false;
     }
@@ -640,7 +642,8 @@
     }
     r->running = pthread_create(&r->thread, NULL, runtime_run, r) == 0;
     if (!r->running) {
-        log_event(LOG_ERR, "not-started", NULL, "no thread");
+        log_event(LOG_ERR, "not-started", NULL,
+                  "cannot create the broker's thread");
         broker_runtime_free(r);
         return NULL;
     }
--- a/src/broker_shutdown.c
+++ b/src/broker_shutdown.c
@@ -29,7 +29,8 @@
     if (b->draining) {
         b->next_load_us = b->now.mono_us; /* the others must know at once */
         broker_log(b, LOG_NOTICE, BROKER_LINGERS, 0, -1, b->opts.self,
-                   "nobody in %s takes over", b->opts.zone.s);
+                   "no other broker in %s can take over the upstreams",
+                   b->opts.zone.s);
     }
     else {
         run_return_unstarted(b);
@@ -47,7 +48,7 @@
     b->review_due = true;
     b->next_load_us = b->now.mono_us;
     broker_log(b, LOG_NOTICE, BROKER_LINGERED, 0, -1, b->opts.self,
-               "%zu run here", b->run_jobs.n);
+               "%zu jobs still run here", b->run_jobs.n);
     run_return_unstarted(b);
 }
 
--- a/src/lease.c
+++ b/src/lease.c
@@ -8,13 +8,13 @@
 {
     static const char *const texts[] = {
         [LEASE_OK] = "ok",
-        [LEASE_FENCED] = "fenced off",
-        [LEASE_STALE_RUN] = "run too old",
+        [LEASE_FENCED] = "upstream has a higher fence",
+        [LEASE_STALE_RUN] = "run was stopped or ended before",
         [LEASE_DEADLINE_PASSED] = "deadline passed",
-        [LEASE_NO_CAPACITY] = "no room",
-        [LEASE_UNHEALTHY] = "unhealthy",
-        [LEASE_WRONG_UPSTREAM] = "another upstream answers",
-        [LEASE_BAD_REQUEST] = "call not understood",
+        [LEASE_NO_CAPACITY] = "not enough free capacity",
+        [LEASE_UNHEALTHY] = "upstream is unhealthy",
+        [LEASE_WRONG_UPSTREAM] = "another upstream answers at the address",
+        [LEASE_BAD_REQUEST] = "call could not be decoded",
         [LEASE_UNSENT] = "no connection",
         [LEASE_NO_ANSWER] = "no answer",
     };
