--- a/src/broker_health.c
+++ b/src/broker_health.c
@@ -1,20 +1,22 @@
 /*
- * Upstreams that fail what they are given, and slow ones.
+ * Health of upstreams: quarantine of failing ones, and slowness.
  *
- * One that fails everything at once is always idle and would draw all work to
- * itself.  After a few failures in a row it gets nothing for a while, then one
- * task at a time until one succeeds.  Jobs that fail everywhere must not put
- * sound upstreams out: a job counts against an upstream only by its first
- * failure (see run_mark_failed()), and at most half of the upstreams that are
- * held may be out at once.
+ * An upstream that fails every task at once is always idle, and would attract
+ * all tasks.  After a few failures in a row it is quarantined: it gets no task
+ * for a while, then one at a time until one succeeds.  Jobs that fail
+ * everywhere must not put healthy upstreams into quarantine.  So only the
+ * first failure of a task counts against an upstream (see run_mark_failed()),
+ * and at most half of the upstreams held here may be in quarantine.
  */
 #include "broker_state.h"
 
-/* In a row: sound runs fail now and then, hardly ever two of them. */
+/* Failures in a row that start a quarantine.  A healthy upstream may fail a
+ * run now and then, but hardly ever two in a row. */
 enum { QUARANTINE_FAILURES = 2 };
 #define BACKOFF_MIN_US (500 * USEC_PER_MSEC)
 #define BACKOFF_MAX_US (8 * USEC_PER_SEC)
-/* A sample beyond these says more of the task than of the upstream. */
+/* Samples are limited to this range: one beyond is due to the task rather than
+ * the upstream. */
 static const double SLOWNESS_MIN = 0.4;
 static const double SLOWNESS_MAX = 12.0;
 
--- a/src/broker_hold.c
+++ b/src/broker_hold.c
@@ -1,11 +1,12 @@
 /*
- * Who holds an upstream.
+ * Which upstreams this broker holds.
  *
- * All brokers of a zone know each other and work out alike who should hold
- * what.  One that should and does not yet waits until the holder it knows of
- * has let go or is gone; then it takes the upstream under a higher fence,
- * looks, and stops whatever runs there that it did not start.  One that
- * should not any more starts nothing there and lets go when all has ended.
+ * All brokers of a zone know each other and compute the same assignment of
+ * upstreams to holders.  A broker that should hold an upstream waits until the
+ * holder known so far has released it or is lost.  Then it takes the upstream
+ * under a higher fence, polls it, and stops the runs there that it did not
+ * start.  A broker that should no longer hold an upstream starts nothing there
+ * and releases it when all its runs have ended.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -14,25 +15,28 @@
 #include "assign.h"
 #include "broker_state.h"
 
-/* An upstream that has not answered for so long, and that no registry tells of
- * any more, is forgotten. */
+/* An upstream is removed after this time without an answer or, if this broker
+ * does not hold it, without a report of a registry. */
 #define REMOVE_AFTER_US (60 * USEC_PER_SEC)
-/* Between looks at an upstream that does not answer. */
+/* Interval of polls of an unresponsive upstream. */
 #define UNRESPONSIVE_POLL_US (300 * USEC_PER_MSEC)
-/* The same where a start that was not answered may reach its next life. */
+/* The same while an unanswered start may still reach the upstream's next
+ * incarnation. */
 #define LOST_START_POLL_US (20 * USEC_PER_MSEC)
-/* Between looks at an idle one.  Its clock must be known to a part of a lease:
- * by the drift that is allowed for, 0.2 s are lost in this time. */
+/* Interval of polls of an idle upstream.  Its clock must be known to a
+ * fraction of a lease; the allowed drift adds up to 0.2 s in this time. */
 #define IDLE_POLL_US (10 * USEC_PER_SEC)
-/* Looks in a row without answer after which an upstream counts as mute: one
- * that loses a sixteenth of its answers comes to that once in 4,000 looks. */
+/* Polls in a row without an answer after which an upstream counts as
+ * unresponsive.  If one answer in 16 is lost, this happens once in 4,000
+ * polls. */
 enum { MISSED_POLLS_MAX = 3 };
-/* A fence is refused when a clock was set back, or when another broker is
- * taking the upstream too.  It is raised by that much and tried again so many
- * times; the clocks of machines differ by seconds. */
+/* A fence is refused if a clock was set back, or if another broker takes the
+ * upstream too.  It is then raised by FENCE_RETRY_STEP, 20 s as the clocks of
+ * machines differ by seconds, at most FENCE_RETRIES_MAX times. */
 #define FENCE_RETRY_STEP (UINT64_C(20000) * FENCE_BROKERS)
-/* A fence is a time in milliseconds and this many values for the brokers of a
- * zone; it stays below 2^53, which JSON carries exactly. */
+/* A fence is a wall time in milliseconds times FENCE_BROKERS, plus a number of
+ * the broker below FENCE_BROKERS.  It stays below 2^53, which JSON carries
+ * exactly. */
 #define FENCE_BROKERS UINT64_C(1024)
 enum { FENCE_RETRIES_MAX = 4 };
 
@@ -59,7 +63,7 @@
     return u;
 }
 
-/* Holders telling each other */
+/* Notifications between the brokers of a zone */
 
 static bool
 is_held(const struct broker_upstream *u)
@@ -83,8 +87,9 @@
     b->hold_updates[b->n_hold_updates++] = held_record(u);
 }
 
-/* Together: a broker that starts takes 32 upstreams in one step, and a message
- * for each to ninety others would be most of what all of them receive. */
+/* The changes of a step go out in one message: a broker that starts takes 32
+ * upstreams in one step, and a message for each to 90 other brokers would be
+ * most of their incoming traffic. */
 void
 hold_notify_zone(struct broker *b)
 {
@@ -126,7 +131,7 @@
     broker_send(b, to, &m);
 }
 
-/* Its runs may go on until their lease passes. */
+/* The upstream's runs may go on until their lease expires. */
 static void
 mark_lost(struct broker *b, struct broker_upstream *u)
 {
@@ -135,9 +140,9 @@
     u->poll_us = INT64_MAX;
 }
 
-/* Another broker has taken it under a higher fence since, while this one was
- * cut off and had no reason to look.  What it starts there would be refused;
- * unnoticed, the upstream would stay idle until something runs into that. */
+/* Another broker took the upstream under a higher fence while this broker was
+ * disconnected and had no poll due.  The upstream would refuse starts of this
+ * broker, and stay idle until one was tried. */
 static void
 mark_replaced(struct broker *b, struct broker_upstream *u, struct name by,
               uint64_t fence)
@@ -160,7 +165,8 @@
         if (u == NULL) {
             u = add_upstream(b, r->upstream);
         }
-        /* One that was cut off may claim what was taken since. */
+        /* A broker that was disconnected may list upstreams that another one
+         * has taken since, under a higher fence. */
         if (r->held != 0 && r->fence >= u->fence) {
             u->holder = from;
         }
@@ -193,9 +199,9 @@
 
 /* Taking */
 
-/* Two brokers that take an upstream in the same millisecond must not come to
- * the same fence: neither would be refused, and each would stop the other's
- * runs as unknown, for ever.  So the lowest bits are the broker's own. */
+/* Two brokers that take an upstream in the same millisecond must not choose
+ * the same fence: neither would be refused, and each would keep stopping the
+ * other's runs as unknown ones.  So the lowest bits depend on the broker. */
 static uint64_t
 next_fence(const struct broker *b, const struct broker_upstream *u)
 {
@@ -209,7 +215,7 @@
     return (wall > known ? wall : known + 1) * FENCE_BROKERS + own;
 }
 
-/* Begins to take an upstream, or takes it anew. */
+/* Begins to take an upstream, or takes it again under a higher fence. */
 static void
 take_upstream(struct broker *b, struct broker_upstream *u)
 {
@@ -229,7 +235,7 @@
     add_hold_update(b, u);
 }
 
-/* All that was placed there is over. */
+/* All runs placed on the upstream have ended; their tasks may start again. */
 static void
 expire_tasks(struct broker *b, struct broker_upstream *u,
              enum broker_reason why)
@@ -260,9 +266,10 @@
     add_hold_update(b, u);
 }
 
-/* Whoever has the higher fence may have been right, or may be a broker that
- * was cut off and knows no better.  Fighting for the upstream would only kill
- * the runs of both, so it is not taken back until the view has changed. */
+/* The broker with the higher fence may be the rightful holder, or one that was
+ * disconnected and has an outdated view.  Taking the upstream back at once
+ * would kill the runs of both brokers, so this one waits until its own view
+ * has changed. */
 void
 hold_on_fenced(struct broker *b, struct broker_upstream *u)
 {
@@ -280,8 +287,9 @@
     add_hold_update(b, u);
 }
 
-/* The new life knows nothing of the runs before, nor of the fence: a start of
- * the old life that is still under way must meet a higher one. */
+/* The new incarnation knows neither the earlier runs nor the fence.  A start
+ * sent to the old incarnation may still arrive, so the upstream is taken again
+ * under a higher fence, which refuses it. */
 void
 hold_on_restart(struct broker *b, struct broker_upstream *u, uint64_t born_ms)
 {
@@ -303,17 +311,18 @@
     }
 }
 
-/* Looks */
+/* Polls */
 
 static void
 open_upstream(struct broker *b, struct broker_upstream *u)
 {
-    /* A task from before the look that it does not list is surely over: its
-     * start would meet a higher fence. */
+    /* A task placed before the poll whose run the answer does not list has
+     * ended; its start, if still on the way, is refused for its lower fence.
+     */
     expire_tasks(b, u, BROKER_RUN_LAPSED);
     u->state = HOLD_OPEN;
     u->fence_retries = 0;
-    /* At most, by whoever held it before. */
+    /* The longest lease that an earlier holder may have granted. */
     u->granted_until_us = b->now.mono_us + b->opts.lease_us;
     u->service->placement_due = true;
     broker_log(b, LOG_INFO, BROKER_UPSTREAM_OPEN, 0, -1, u->name,
@@ -438,13 +447,14 @@
     }
 }
 
-/* The view */
+/* Assignment of upstreams to holders */
 
+/* Whether the other brokers had time to connect after this one started. */
 static bool
 discovery_done(const struct broker *b)
 {
-    /* Not from the start: when everything starts at once, the first word of a
-     * registry names only those that found it before us. */
+    /* The first roster alone does not do: when a whole zone starts at once,
+     * it names only brokers that reached the registry before this one. */
     return b->now.mono_us - b->started_us >= b->opts.discovery_us ||
            (peers_zone_connected(b) &&
             b->now.mono_us - b->first_roster_us >= b->opts.discovery_min_us);
@@ -462,8 +472,8 @@
     return p != NULL && p->up;
 }
 
-/* While a started job has tasks left to start, its upstreams are kept, though
- * they are idle just now. */
+/* While a started job has tasks left to start, the upstreams of its service
+ * are kept, even if idle. */
 static bool
 needed_by_started_job(struct broker *b, const struct broker_upstream *u)
 {
@@ -497,7 +507,7 @@
     }
 }
 
-/* Index among those that should hold any, or ASSIGN_NONE. */
+/* Index of the upstream's holder in b->holders, or ASSIGN_NONE. */
 static size_t
 holder_index(const struct broker *b, const struct broker_upstream *u)
 {
@@ -511,7 +521,8 @@
     return ASSIGN_NONE;
 }
 
-/* The upstreams of this zone; returns how many there are. */
+/* Lists the upstreams of this zone, and releases held ones of other zones.
+ * Returns the number of items. */
 static size_t
 list_zone_upstreams(struct broker *b, struct assign_item *items)
 {
@@ -592,7 +603,7 @@
     return false;
 }
 
-/* Time */
+/* Timers */
 
 static void
 remove_upstream(struct broker *b, struct broker_upstream *u)
@@ -621,7 +632,8 @@
 static bool
 is_removable(const struct broker *b, const struct broker_upstream *u)
 {
-    /* One that a registry only remembered may never have answered. */
+    /* An upstream that a registry restored from its disk may never have
+     * answered. */
     int64_t since_us = u->clock_us > 0 ? u->clock_us : u->last_reported_us;
     bool silent = b->now.mono_us - since_us > REMOVE_AFTER_US;
     bool unreported = b->now.mono_us - u->last_reported_us > REMOVE_AFTER_US;
@@ -629,7 +641,8 @@
     if (u->n_tasks > 0 || u->poll != 0) {
         return false;
     }
-    /* Of what others hold only registries tell, all of it every 20 s. */
+    /* Upstreams held by other brokers are known from the registries alone,
+     * which report all of them every 20 s. */
     if (u->state == HOLD_NONE && unreported) {
         return true;
     }
@@ -656,7 +669,7 @@
             lease_quick_poll(b, u);
         }
     }
-    /* Nothing else may happen when the time to settle is over. */
+    /* The discovery time may end without any other event. */
     if (!b->discovery_over || b->stopping) {
         b->discovery_over = discovery_done(b);
         b->review_due = true;
--- a/src/broker_lease.c
+++ b/src/broker_lease.c
@@ -1,6 +1,6 @@
 /*
- * Speaking with upstreams: starts, stops and looks.  What their answers mean
- * is in broker_answer.c.
+ * Calls to upstreams: starts, stops and polls.  broker_answer.c handles the
+ * answers.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -8,13 +8,15 @@
 #include "array.h"
 #include "broker_state.h"
 
-/* A look at upstreams where a run may stand still, or where one is being
- * stopped, is answered after this at the latest. */
+/* Longest wait of a poll whose answer is needed soon, such as while a run is
+ * being stopped or a start is unanswered. */
 #define QUICK_POLL_US (50 * USEC_PER_MSEC)
-/* Shortest wait for an answer: some turns of a process that has a quarter of a
- * core and other work. */
+/* Shortest timeout of a call: a few scheduling rounds of an upstream that has
+ * a quarter of a core and other work. */
 #define ANSWER_TIMEOUT_MIN_US (40 * USEC_PER_MSEC)
+/* Mean deviations added to the mean response time. */
 enum { ANSWER_TIMEOUT_DEVIATIONS = 8 };
+
 struct task_ref
 lease_task_ref(const struct run_job *job, const struct run_task *t)
 {
@@ -22,10 +24,11 @@
         .job = job->id, .group = t->group, .index = t->index, .run = t->run};
 }
 
-/* How long to wait for an answer that is given at once.  A start that is lost
- * has to be stopped and placed anew while its job can still be in time, so as
- * short as the answers allow: what TCP waits before it sends again (RFC 6298),
- * with twice its allowance, since a false alarm stops a run. */
+/* Timeout of a call that is answered at once.  A lost start must be stopped
+ * and placed again while its job can still be in time, so the timeout is as
+ * short as the response times allow: that of a TCP retransmission (RFC 6298),
+ * with twice its allowance for the deviation, since a false alarm stops a run.
+ */
 static int64_t
 answer_timeout_us(const struct broker *b)
 {
@@ -61,7 +64,8 @@
     return &e->request;
 }
 
-/* What the upstream's clock has come to at least, as a slow one would. */
+/* The least that the upstream's clock can show now, assuming the slowest drift
+ * allowed. */
 static int64_t
 least_clock_ms(const struct broker *b, const struct broker_upstream *u)
 {
@@ -71,8 +75,9 @@
            (int64_t)(passed_us * (1.0 - b->opts.clock_drift)) / USEC_PER_MSEC;
 }
 
-/* The latest time by which a deadline that is sent now and lies so far ahead
- * has passed there: its clock may be slow. */
+/* Moves the time at which the upstream's lease counts as expired: the latest
+ * time at which a deadline sent now and @left_us ahead passes on the
+ * upstream's clock, which may be slow. */
 static void
 extend_expiry(const struct broker *b, struct broker_upstream *u,
               int64_t left_us)
@@ -89,8 +94,8 @@
         expiry_us > u->leases_end_us ? expiry_us : u->leases_end_us;
 }
 
-/* A lease from now, or less where a job with tasks there may not run for so
- * long; 0 for no time at all. */
+/* The deadline to send, on the upstream's clock: a lease from now, or less if
+ * the lease of a job with tasks there ends earlier; 0 to send none. */
 static int64_t
 next_deadline_ms(struct broker *b, struct broker_upstream *u)
 {
--- a/src/broker_order.c
+++ b/src/broker_order.c
@@ -1,53 +1,55 @@
 /*
- * Which jobs are let in, and which go first.
+ * Admission of jobs and their order in the queue.
  *
- * The load it answers: demand near or above what the upstreams can do, jobs
- * from 60 ms to seconds of work, callers that leave after a while.  Served in
- * order of arrival, a burst makes every job wait behind all of it, and nearly
- * all answers come late though most of the work is done.  So jobs are ordered
- * by the time at which they must start to be answered in time, urgent queues a
- * little before that.  A job that can't be in time any more is served from
- * what the others leave.  One that would not even get that while its answer is
- * of use is refused when it comes: it costs nothing then, and its caller
- * learns at once when to come back.  While demand is above what there is, the
- * room is shared between queues (broker_share.c).
+ * This is made for demand near or above the capacity of the upstreams, jobs of
+ * 60 ms to seconds of work, and callers that give up after a while.  In order
+ * of arrival, each job of a burst would wait behind all earlier ones, and
+ * nearly all answers would be late though most of the work gets done.  So jobs
+ * are ordered by the latest start at which they meet their objective, with
+ * urgent queues a little earlier.  A job that can no longer meet its objective
+ * is late, and gets only capacity that the other jobs leave free.  A job that
+ * would not even get that while its answer is useful is refused on arrival,
+ * when it has cost nothing, and the caller is told when to retry.  While
+ * demand exceeds capacity, capacity is shared between queues (broker_share.c).
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "broker_state.h"
 
-/* A queue goes that much before one of the next lower priority: half of the
- * usual spare time of a short job, so that priority decides between jobs of a
- * kind and never starves a long one. */
+/* Advance of a queue over one of the next lower priority: half of the usual
+ * spare time of a short job, so that priority decides between similar jobs and
+ * never starves a long one. */
 #define PRIORITY_STEP_US (60 * USEC_PER_MSEC)
-/* Share of the processors that tasks of usual sizes can fill: 14 of 32 cores
- * leave an eighth unused. */
+/* Share of the processors that tasks of usual sizes can use: two tasks of 14
+ * cores leave an eighth of 32 cores unused. */
 static const double USABLE_SHARE = 0.85;
-/* Answers are of some use to callers until that multiple of the objective. */
+/* Answers are useful to callers until this multiple of the objective. */
 enum { USEFUL_OBJECTIVES = 3 };
-/* Jobs that may wait at one broker: several seconds of a zone's usual demand;
- * more can't be in time anyway. */
+/* Limit of the queue of a service: several seconds of a zone's usual demand.
+ * More jobs can't be in time. */
 enum { QUEUE_JOBS_MAX = 1024 };
-/* Late jobs stand behind all others: farther than any time reaches. */
+/* Offset in the queue order that puts late jobs behind all others; exceeds any
+ * time. */
 #define LATE_OFFSET_US (INT64_C(1) << 56)
-/* However full it is, some jobs in time end early. */
+/* Share of capacity assumed for late jobs at least: even under full load, some
+ * jobs end early. */
 static const double LATE_SHARE_MIN = 0.05;
-/* Late jobs leave that share of the room to those that come next and can be in
- * time: a usual job takes as much. */
+/* Share of capacity that late jobs leave free for the next jobs that can be in
+ * time: the size of a usual job. */
 static const double LATE_RESERVE_SHARE = 0.08;
-/* A late job that takes more than that of the room begins with a part of its
- * tasks: so much as a wide one takes is hardly ever free at once, and it would
- * be refused beside idle upstreams. */
+/* A late job that needs more than this share of capacity starts with some of
+ * its tasks.  Enough for all tasks of a wide job is hardly ever free at once,
+ * and the job would be refused while upstreams are idle. */
 static const double WIDE_SHARE = 0.25;
-/* A late job is let in where it would start in time for that multiple of the
- * estimated wait: what comes later may go before it. */
+/* A late job is admitted if it would start in time even after this multiple of
+ * the estimated wait, since later jobs may overtake it. */
 enum { LATE_WAIT_FACTOR = 2 };
 #define RETRY_MIN_US (200 * USEC_PER_MSEC)
-/* Demand and room are measured over 2 s; what they say of a time much later is
- * no reason to keep a caller away. */
+/* Demand and capacity are measured over 2 s, which does not justify a longer
+ * delay. */
 #define RETRY_MAX_US (5 * USEC_PER_SEC)
-/* Farther than any deadline, and small enough to be multiplied. */
+/* Later than any deadline, and small enough to be multiplied. */
 #define NEVER_US (INT64_C(1) << 50)
 
 static struct queue_stats *
@@ -86,8 +88,8 @@
                      (int64_t)g->declared_us, ran_us);
 }
 
-/* The longest chain of groups that wait for each other.  A group waits only
- * for earlier ones. */
+/* Expected run time of the longest chain of dependent groups.  A group depends
+ * only on earlier ones. */
 static int64_t
 longest_chain_us(const struct run_job *job)
 {
@@ -148,8 +150,8 @@
     struct broker_service *s = job->service;
     struct run_job *predecessor;
 
-    /* What was begun is ended first: among the late ones its last tasks would
-     * wait for ever behind jobs that find no spare room. */
+    /* Started jobs are completed first.  Among the late jobs, the last tasks
+     * of one would wait for ever behind jobs that find no spare capacity. */
     if (job->started) {
         job->queue_key_us = job->latest_start_us;
     }
@@ -180,17 +182,17 @@
     }
 }
 
-/* Room: processors of upstreams that take work from here, what is free there,
- * and how fast it comes free. */
+/* Capacity: processors of the upstreams held here that accept tasks, in
+ * milli-cores, and how fast it is released. */
 struct service_capacity {
-    double cpu;    /* milli-cores */
-    double usable; /* of them, counted by how fast their upstreams are */
-    double unused; /* milli-cores */
-    double held;   /* by tasks that run or wait, milli-cores */
-    double released_per_us; /* of it, in a microsecond */
+    double cpu;
+    double usable; /* usable share, divided by the upstreams' slowness */
+    double unused; /* not used by placed tasks */
+    double held;   /* needed by placed and queued tasks */
+    double released_per_us; /* of held */
 };
 
-/* Tasks that wait or run take @cpu for about @us. */
+/* Adds placed or queued tasks that need @cpu milli-cores for about @us. */
 static void
 add_held(struct service_capacity *c, double cpu, int64_t us)
 {
@@ -231,7 +233,7 @@
     return c;
 }
 
-/* Milli-cores that a job's ready tasks take. */
+/* Milli-cores that a job's ready tasks need. */
 static double
 ready_cpu(const struct run_job *job)
 {
@@ -245,8 +247,9 @@
     return cpu;
 }
 
-/* What waits before a place in the queue counts as held, too: it is by the
- * time that it is the turn of what comes behind it. */
+/* Milli-cores needed by the queued jobs before a position in the queue.  They
+ * are added to @c as held, since they will be when the job at that position is
+ * next. */
 static double
 queued_before(const struct broker_service *s, int64_t before_key_us,
               struct service_capacity *c)
@@ -268,8 +271,8 @@
     return cpu;
 }
 
-/* Milli-cores that come free in a microsecond when all are taken by what is
- * held now. */
+/* Milli-cores released in a microsecond when all usable ones are taken by
+ * tasks like those held now. */
 static double
 release_rate(const struct service_capacity *c)
 {
@@ -292,10 +295,11 @@
     return (int64_t)(missing_cpu / rate);
 }
 
-/* Late jobs: they get what the others leave.  How much that is shows in how
- * much of their work was started lately; where none waited nothing was, so it
- * is no less than the room that what comes in leaves. */
+/* Late jobs */
 
+/* Milli-cores that late jobs can expect: as much as late work was started
+ * lately.  As none may have been waiting, it is at least the capacity that
+ * exceeds the demand. */
 static double
 late_capacity(struct broker *b, struct broker_service *s,
               const struct service_capacity *c)
@@ -317,7 +321,7 @@
     share_add_late_start(job->service, job->work);
 }
 
-/* Work of late jobs that waits before one that must start by then. */
+/* Work of the queued late jobs before one with that latest start. */
 static double
 late_work_before(const struct broker_service *s, int64_t before_us)
 {
@@ -335,7 +339,7 @@
 
 /* Admission */
 
-/* An answer after that is of no use any more. */
+/* The latest start after which the answer is of no use to the caller. */
 static int64_t
 last_useful_start_us(const struct run_job *job)
 {
@@ -354,7 +358,8 @@
     job->queue_key_us = LATE_OFFSET_US + job->latest_start_us;
 }
 
-/* When it would have a chance: what stands before it is done by then. */
+/* Delay after which the caller should retry: the jobs before this one are done
+ * by then. */
 static int64_t
 retry_after_us(const struct run_job *job, int64_t start_us)
 {
@@ -387,15 +392,15 @@
     return true;
 }
 
-/* Demand is above what there is, by the last 2 s. */
+/* Whether the demand of the last 2 s exceeds capacity. */
 static bool
 is_overloaded(const struct broker_service *s, const struct service_capacity *c)
 {
     return share_total_demand(s) >= c->usable;
 }
 
-/* When it would start behind all others: as room comes free, and, while demand
- * is above what there is, as late jobs get room at all. */
+/* When the job would start behind all queued jobs: as capacity is released
+ * and, in overload, no sooner than the share of late jobs allows. */
 static int64_t
 late_start_us(struct broker *b, const struct run_job *job,
               const struct service_capacity *free)
@@ -464,13 +469,14 @@
     }
     c = measure_capacity(b, job->service);
     too_late = b->now.mono_us > last_useful_start_us(job);
-    /* A cluster of long jobs clears up sooner than it looks. */
+    /* Without overload, a group of long jobs in the queue may be done sooner
+     * than estimated. */
     if (!too_late && !is_overloaded(job->service, &c)) {
         return false;
     }
     start = late_start_us(b, job, &c);
     *retry_us = retry_after_us(job, start);
-    /* What comes in was brought up to date meanwhile. */
+    /* late_start_us() may have updated the measured demand. */
     return too_late || (is_overloaded(job->service, &c) &&
                         start > last_useful_start_us(job));
 }
--- a/src/broker_peer.c
+++ b/src/broker_peer.c
@@ -1,5 +1,6 @@
 /*
- * The other processes: who is there, and who should hold which upstream.
+ * The other processes: connections, introductions, rosters, loads, and which
+ * brokers of the zone should hold upstreams.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -7,8 +8,8 @@
 #include "array.h"
 #include "broker_state.h"
 
-/* A process that no registry names and that is silent for so long is dialed no
- * more. */
+/* A process that has been disconnected, and absent from all rosters, for this
+ * time is removed and no longer dialed. */
 #define REMOVE_AFTER_US (30 * USEC_PER_SEC)
 
 struct broker_peer *
@@ -139,8 +140,8 @@
     p->draining = false;
     p->config_poll_us = b->now.mono_us;
     if (!p->registry) {
-        /* Before the introduction: it may make the other one think that it
-         * should hold them, and it would take them at once. */
+        /* Sent before the introduction, by which the other broker may conclude
+         * that it should hold these upstreams; it would take them at once. */
         hold_send_held(b, name);
     }
     send_introduction(b, name, false);
@@ -167,7 +168,8 @@
     if (name_equal(p->zone, b->opts.zone)) {
         hold_send_held(b, from);
     }
-    b->next_load_us = b->now.mono_us; /* it knows no load of ours yet */
+    b->next_load_us =
+        b->now.mono_us; /* that broker has no load of this one yet */
     mark_view_changed(b);
 }
 
@@ -249,7 +251,7 @@
     renew_on_request(b, from, l->sent_us, false);
 }
 
-/* Returns to how many. */
+/* Returns the number of brokers that the load was sent to. */
 static uint32_t
 send_load(struct broker *b)
 {
@@ -292,8 +294,8 @@
     return sent;
 }
 
-/* Until the next report: often enough for the others to see the queue move,
- * and no more messages a second than are allowed, however many they are. */
+/* Time until the next load: short enough that other brokers can follow the
+ * queue, but no more than load_reports_per_s messages in a second. */
 static int64_t
 next_load_delay_us(const struct broker *b, uint32_t sent)
 {
@@ -315,8 +317,8 @@
     mark_view_changed(b);
 }
 
-/* Registries tell other zones of those that hold upstreams before all others,
- * since only they run jobs. */
+/* Registries need to know which brokers hold upstreams: only these run jobs,
+ * so the rosters of other zones list them first. */
 static void
 report_holds(struct broker *b)
 {
@@ -333,7 +335,7 @@
     }
 }
 
-/* Time */
+/* Timers */
 
 static void
 remove_lost_peers(struct broker *b)
@@ -397,7 +399,7 @@
     return (p->up || p->self) && (!p->stopping || p->draining);
 }
 
-/* By age, the first started first. */
+/* Orders by start time, the oldest process first. */
 static int
 compare_start_time(const void *x, const void *y)
 {
@@ -424,9 +426,10 @@
     return n;
 }
 
-/* The oldest brokers of the zone hold all its upstreams, as few of them as
- * can.  One queue for many upstreams leaves fewer idle than one queue each,
- * and the oldest keep what they have when others restart. */
+/* The oldest brokers of the zone hold all its upstreams, and as few brokers as
+ * possible do: one queue for many upstreams leaves fewer of them idle than
+ * several queues.  As the oldest are chosen, the holders stay the same when
+ * other brokers restart. */
 void
 peers_update_holders(struct broker *b)
 {
--- a/src/broker_renew.c
+++ b/src/broker_renew.c
@@ -1,37 +1,41 @@
 /*
- * Until when a job may run: the lease that it has from its taker.
+ * Leases of jobs: how long a runner may run a job without its taker's renewal.
  *
- * A caller whose connection broke, or who was told that the outcome is not
- * known, hands its job in again, at any broker, and that one may choose any
- * runner.  Nothing fences the runs of the first life there.  So a runner lets
- * no upstream run a job's tasks for longer than a job's lease after the job
- * was last known to be waited for.  However long the taker's loss goes
- * unnoticed, and whatever becomes of the stops, all runs are over by then.
+ * A caller whose connection broke, or that was answered that the outcome is
+ * unknown, submits its job again at any broker, which may choose any runner.
+ * No fence stops the runs of the first submission there.  So the tasks of a
+ * job run on upstreams no longer than a job lease after the last time at which
+ * its caller was known to be connected.  All runs of the first submission have
+ * ended by then, even if the loss of the taker is not noticed and stops are
+ * lost.
  *
- * An upstream has one deadline for all that runs there, which never moves
- * back: it is extended as far as the job allows that was confirmed longest
- * ago, and a task starts only where the deadline is not beyond that of its
+ * An upstream has one deadline for all its runs, which never moves back.  It
+ * is extended only to the earliest end of a lease of the jobs with tasks
+ * there, and a task starts only where the deadline is within the lease of its
  * own job.
  *
- * A runner's loads and checks carry its clock; a taker returns the newest with
- * the list of jobs that it waits for.  Both are on the runner's own clock, so
- * delays on the way only make the lease shorter.
+ * Loads and checks of a runner carry the time of its clock.  A taker echoes
+ * the newest one in a renewal, with the list of jobs whose callers are still
+ * connected.  Since both times are of the runner's clock, network delays only
+ * shorten the lease.
  */
 #include <stdlib.h>
 
 #include "broker_state.h"
 
-/* A taker confirms a job so often. */
+/* Interval at which a taker renews the lease of a job. */
 #define RENEW_INTERVAL_US (150 * USEC_PER_MSEC)
-/* A taker that was not heard for so long is asked; loads ask all of them, but
- * not as often where there are many brokers. */
+/* A check is sent when a job has not been renewed for this time.  Loads
+ * request renewals too, but are sent less often where there are many brokers.
+ */
 #define CHECK_AFTER_US (2 * RENEW_INTERVAL_US)
-/* Between two checks of one taker by jobs that could start now. */
+/* Least interval of checks to a taker for jobs that could start now. */
 #define CHECK_INTERVAL_US (20 * USEC_PER_MSEC)
-/* Kept of a caller's time, for coarse clocks and for its connection to break
- * at its taker's end. */
+/* Part of a caller's time before it submits again that no lease uses: for
+ * coarse clocks, and for the taker to notice the broken connection. */
 #define DISCONNECT_MARGIN_US (50 * USEC_PER_MSEC)
-/* Work that could go on for less than this share of a lease does not start. */
+/* A task starts only if 1/START_LEASE_DIVISOR of an upstream's lease is left.
+ */
 enum { START_LEASE_DIVISOR = 2 };
 
 void
@@ -117,8 +121,9 @@
     p->wants_renewal = false;
 }
 
-/* Only once callers that left before the question came are known: after a
- * standstill, questions may be read before that. */
+/* A request is answered only when callers that disconnected before it arrived
+ * are known.  After a pause of the process, requests may be read before the
+ * disconnects. */
 static void
 answer_requests(struct broker *b)
 {
@@ -146,7 +151,7 @@
 int64_t
 renew_echoed_us(const struct broker *b, uint64_t heard_us)
 {
-    /* Not of this clock where it lies ahead. */
+    /* A time that lies ahead is not of this clock. */
     return heard_us <= (uint64_t)b->now.mono_us ? (int64_t)heard_us : 0;
 }
 
@@ -251,14 +256,15 @@
 {
     int64_t limit_us = lease_end_us(b, job);
 
-    /* The longest lease that any upstream may have by now. */
+    /* An upstream may have been granted a full lease by now. */
     if (limit_us < b->now.mono_us + b->opts.lease_us) {
         send_check(b, job->taker, CHECK_INTERVAL_US);
     }
     return leaves_start_time(b, limit_us);
 }
 
-/* Whether its taker had the time of a lease to confirm it, and did not. */
+/* Whether the taker has not confirmed the job for the time of a job lease,
+ * counted from the offer at the earliest. */
 static bool
 is_unconfirmed(const struct broker *b, const struct run_job *job)
 {
--- a/src/broker_runtime.c
+++ b/src/broker_runtime.c
@@ -15,18 +15,18 @@
 #include "stats.h"
 
 enum {
-    RING_SIZE = 4, /* unused: messages and connections must keep their order,
-                    * so all of them are posted */
+    RING_SIZE = 4, /* the ring is unused: messages and connection events must
+                    * keep their order, so all of them are posted */
     EVENTS_MAX = 16,
     WAIT_MAX_MS = 500,
-    LAST_WRITE_MS = 300, /* for the last answers to go out */
+    LAST_WRITE_MS = 300, /* to write the last answers at the end */
     METRICS_CONNECTIONS = 8,
     STATUS_UNAVAILABLE = 503,
 };
 
 enum mail_kind { MAIL_MESSAGE, MAIL_PEER, MAIL_STOP, MAIL_REGISTRY };
 
-/* What other threads hand over. */
+/* An event from another thread. */
 struct broker_mail {
     struct mail mail;
     enum mail_kind kind;
@@ -46,13 +46,13 @@
     struct httpapi *metrics;
     struct leaseclient *upstreams;
     struct peer *peers;
-    uint64_t *waiting_requests; /* requests that came before there is a
-                                   configuration */
+    uint64_t
+        *waiting_requests; /* requests waiting for the first configuration */
     size_t n_waiting_requests;
     size_t waiting_capacity;
     int epoll;
-    int64_t callers_polled_us; /* callers that left before this were taken note
-                                  of */
+    int64_t callers_polled_us; /* callers that disconnected before this are
+                                  known */
     pthread_t thread;
     bool running;
     bool healthy;
@@ -156,8 +156,8 @@
     free((void *)c->submit.groups);
 }
 
-/* Whether a queue is there is said by the newest configuration.  Where that is
- * still on its way here, nobody is told that there is none. */
+/* An unknown queue may be part of a newer configuration that has not arrived
+ * yet; then the caller is answered to retry. */
 static void
 reply_no_queue(struct broker_runtime *r, uint64_t number,
                struct httpapi_response *response)
@@ -169,9 +169,8 @@
     httpapi_reply(r->callers, number, response);
 }
 
-/* Without a configuration nothing can be said of a request.  A broker that has
- * just started will have one in a moment, and its callers are kept until then.
- */
+/* Without a configuration no request can be decoded.  A broker that has just
+ * started will have one soon, so its callers' requests wait until then. */
 static bool
 awaits_first_config(struct broker_runtime *r)
 {
@@ -207,8 +206,8 @@
     struct caller_request c = {.kind = CALLER_REPLY_NOW};
     struct broker_event ev = {.kind = BEV_CANCEL};
 
-    /* The reducer is done and nothing would come back from other processes:
-     * a job taken now would get no answer at all. */
+    /* The stop is complete and messages of other processes are not handled any
+     * more: a job accepted now would never be answered. */
     if (atomic_load(&r->stopped)) {
         c.response.status = STATUS_UNAVAILABLE;
         c.response.retry_after_us = USEC_PER_SEC;
@@ -432,9 +431,9 @@
     return ms < WAIT_MAX_MS ? (int)ms : WAIT_MAX_MS;
 }
 
-/* A request that was answered while it was taken is written by another run, of
- * which no event tells: without it a client waits for its answer until
- * somebody else calls. */
+/* An answer given inside a request's callback is written by the next
+ * httpapi_run(), for which there is no epoll event.  Without that run the
+ * client would wait until another request arrives. */
 static void
 run_server(struct httpapi *h, bool woken)
 {
@@ -443,7 +442,8 @@
     }
 }
 
-/* Which module an event belongs to: the loop's epoll holds their epolls. */
+/* Runs the modules that have events; the loop's epoll contains the epoll
+ * descriptors of the modules. */
 static void
 run_modules(struct broker_runtime *r, struct epoll_event *events, int n)
 {
@@ -462,8 +462,8 @@
     run_server(r->metrics, metrics);
 }
 
-/* Before anything else of a round: after a standstill, what is decided for
- * callers who left meanwhile would keep their jobs running. */
+/* Runs first in a round: after a pause of the process, decisions made before
+ * would keep jobs running whose callers disconnected meanwhile. */
 static void
 poll_callers(struct broker_runtime *r)
 {
@@ -492,8 +492,8 @@
     }
 }
 
-/* Answers that are queued when the reducer is done still have to be written,
- * and requests that are on their way still be refused. */
+/* When the reducer has stopped, queued answers must still be written, and
+ * requests that still arrive be refused. */
 static void
 write_last_answers(struct broker_runtime *r)
 {
--- a/src/broker_runtime.h
+++ b/src/broker_runtime.h
@@ -1,10 +1,11 @@
 /**
  * DOC: broker_runtime - the thread around the broker reducer
  *
- * One thread serves callers, speaks with upstreams and owns the reducer: on a
- * quarter of a core a hand-over between threads costs more than the decisions.
- * The thread of peer, which speaks with the other processes, puts messages
- * into its mailbox.  How callers' requests look is a table of functions.
+ * One thread serves callers, calls upstreams and owns the reducer: on a
+ * quarter of a core, handing work over to another thread costs more than the
+ * decisions. The thread of the peer module, which exchanges messages with the
+ * other processes, posts them to this thread's mailbox.  The format of
+ * callers' requests and answers is defined by struct caller_codec.
  */
 #ifndef BM_BROKER_RUNTIME_H
 #define BM_BROKER_RUNTIME_H
@@ -14,21 +15,22 @@
 #include "leaseclient.h"
 #include "peer.h"
 
-/** enum caller_request_kind - what a caller's request asks for */
+/** enum caller_request_kind - kinds of callers' requests */
 enum caller_request_kind {
     CALLER_SUBMIT,
     CALLER_CANCEL,
-    CALLER_COUNT_WAITING, /* how many jobs of a queue wait */
-    CALLER_REPLY_NOW,     /* nothing: the answer stands already */
-    CALLER_NO_QUEUE, /* likewise: no queue of the configuration is meant */
+    CALLER_COUNT_WAITING, /* number of waiting jobs of a queue */
+    CALLER_REPLY_NOW, /* answered by the codec itself, such as a bad request */
+    CALLER_NO_QUEUE,  /* likewise; the path is of no configured queue */
 };
 
 /**
  * struct caller_request - a caller's request, decoded
- * @kind: decides which of the others count
- * @submit: its spec and groups are owned; the request number is filled in
- * @cancel: likewise
- * @queue: whose jobs are counted; of the configuration
+ * @kind: decides which of the other fields are set
+ * @submit: of CALLER_SUBMIT; its spec and groups are owned.  The runtime fills
+ *          in the request number.
+ * @cancel: of CALLER_CANCEL; likewise
+ * @queue: of CALLER_COUNT_WAITING; borrowed from the configuration
  * @response: of CALLER_REPLY_NOW and CALLER_NO_QUEUE
  */
 struct caller_request {
@@ -40,11 +42,11 @@
 };
 
 /**
- * struct caller_codec - how callers' requests and answers look
- * @decode: a request; @queues is NULL before there is a configuration
- * @encode_answer: what becomes of a job, or of a cancel
- * @encode_count: how many jobs wait
- * @ready_path: of the platform's question whether to send callers here
+ * struct caller_codec - format of callers' requests and answers
+ * @decode: decodes a request; @queues is NULL before there is a configuration
+ * @encode_answer: encodes the answer to a submit or cancel
+ * @encode_count: encodes the number of waiting jobs
+ * @ready_path: path of the platform's readiness probe
  */
 struct caller_codec {
     void (*decode)(const struct httpapi_request *r,
@@ -56,18 +58,19 @@
 };
 
 /**
- * struct broker_runtime_options - how to construct one
- * @broker: of the reducer
- * @peers: of the connections; its callbacks are filled in
- * @upstreams: of the calls; its callbacks are filled in
- * @codec: how they speak
- * @listen_callers: IP:PORT
- * @listen_ready: IP:PORT where readiness is asked for; empty for none
- * @listen_metrics: IP:PORT; empty for none
- * @connections_max: of callers at a time
- * @idle_timeout_s: of their silent connections
- * @body_max: bytes of a job
- * @clock: for all of them
+ * struct broker_runtime_options - configuration of a broker_runtime
+ * @broker: options of the reducer
+ * @peers: options of the connections to other processes; the callbacks are
+ *         filled in
+ * @upstreams: options of the calls to upstreams; the callbacks are filled in
+ * @codec: format of callers' requests and answers
+ * @listen_callers: IP:PORT for callers
+ * @listen_ready: IP:PORT of the readiness probe; empty for none
+ * @listen_metrics: IP:PORT of the metrics; empty for none
+ * @connections_max: limit of callers' connections
+ * @idle_timeout_s: after which an idle connection of a caller is closed
+ * @body_max: limit of a request's body in bytes
+ * @clock: used by the runtime and all its parts
  */
 struct broker_runtime_options {
     struct broker_options broker;
@@ -85,18 +88,19 @@
 
 struct broker_runtime;
 
-/** broker_runtime_new() - starts the threads; NULL with the reason logged */
+/** broker_runtime_new() - starts the threads; NULL on failure, which is logged
+ */
 struct broker_runtime *
 broker_runtime_new(const struct broker_runtime_options *o);
 
-/** broker_runtime_add_registry() - one more registry to connect to */
+/** broker_runtime_add_registry() - adds a registry to connect to */
 void broker_runtime_add_registry(struct broker_runtime *r, struct name name,
                                  struct address address);
 
 /** broker_runtime_stop() - begins a planned stop */
 void broker_runtime_stop(struct broker_runtime *r);
 
-/** broker_runtime_stopped() - whether nothing is in progress any more */
+/** broker_runtime_stopped() - whether the planned stop is complete */
 bool broker_runtime_stopped(const struct broker_runtime *r);
 
 /** broker_runtime_free() - ends the threads; NULL is allowed */
--- a/src/broker_shutdown.c
+++ b/src/broker_shutdown.c
@@ -1,19 +1,20 @@
 /*
- * A planned stop where nobody can take over.
+ * Planned stop of a broker while no other broker can take over its upstreams.
  *
- * The load it answers: machines are stopped and started in turn, faster than
- * one after the other is back, and all brokers of a zone are stopping at one
- * time.  Upstreams that are let go then stay idle until one of them is back: a
- * third of a region's room for seconds, and the other zones refuse what they
- * can't take.  So a broker that holds upstreams and sees nobody in its zone to
- * take over goes on running jobs, until somebody shows up, or only as much
- * time is left as what runs by then needs to end.
+ * In a rolling restart that goes faster than brokers come back, all brokers of
+ * a zone may be stopping at the same time.  If they released their upstreams,
+ * these would stay idle until a broker is back: a third of a region's capacity
+ * for seconds, while the other zones refuse jobs that they have no capacity
+ * for.  So a stopping broker that holds upstreams and has no successor in its
+ * zone keeps running jobs.  It ends this when a successor appears, or when the
+ * time left only suffices for its current runs to end.
  */
 #include "broker_state.h"
 
-/* Kept of the stop's time: a long task, and an answer to its caller. */
+/* Time reserved at the end of a stop: for a long task, and for the answer to
+ * its caller. */
 #define RUN_END_RESERVE_US (2500 * USEC_PER_MSEC)
-/* A run may take that much longer than expected. */
+/* Run time allowed for a job, as a multiple of the expected one. */
 enum { RUN_TIME_FACTOR = 2 };
 
 static int64_t
@@ -27,7 +28,8 @@
 {
     b->draining = hold_has_any(b) && !peers_have_successor(b);
     if (b->draining) {
-        b->next_load_us = b->now.mono_us; /* the others must know at once */
+        /* The other brokers must know at once that jobs are still run here. */
+        b->next_load_us = b->now.mono_us;
         broker_log(b, LOG_NOTICE, BROKER_LINGERS, 0, -1, b->opts.self,
                    "no other broker in %s can take over the upstreams",
                    b->opts.zone.s);
--- a/src/broker_state.h
+++ b/src/broker_state.h
@@ -545,12 +545,15 @@
 
 /* broker_peer.c */
 
-/** peers_init() - this process and the registries of the options */
+/** peers_init() - adds this process and the registries of the options */
 void peers_init(struct broker *b);
 void peers_free(struct broker *b);
 
-/** peers_find() - the process of that name, or NULL */
+/** peers_find() - returns the process of that name, or NULL */
 struct broker_peer *peers_find(const struct broker *b, struct name name);
+
+/** peers_on_connection() - the connection to a process was established (@up)
+ * or lost */
 void peers_on_connection(struct broker *b, struct name name, bool up);
 void peers_on_introduction(struct broker *b, struct name from,
                            const struct rec_introduction *i);
@@ -558,8 +561,11 @@
 void peers_on_load(struct broker *b, struct name from,
                    const struct rec_broker_load *l);
 
-/** peers_announce_stop() - says at once that this broker is stopping */
+/** peers_announce_stop() - notifies all connected processes that this broker
+ * is stopping */
 void peers_announce_stop(struct broker *b);
+
+/** peers_tick() - sends the load and forgets lost processes when due */
 void peers_tick(struct broker *b);
 int64_t peers_next_us(const struct broker *b);
 
@@ -579,23 +585,23 @@
 
 /* broker_peer.c, again */
 
-/** peers_update_holders() - works out anew which brokers hold upstreams */
+/** peers_update_holders() - recomputes which brokers of this zone should be
+ * holders */
 void peers_update_holders(struct broker *b);
 
-/** peers_have_successor() - whether another broker of this zone may hold
- * upstreams
- */
+/** peers_have_successor() - whether another broker of this zone may be a
+ * holder */
 bool peers_have_successor(const struct broker *b);
 
 /** peers_can_run_jobs() - whether jobs may be offered to that process */
 bool peers_can_run_jobs(const struct broker_peer *p);
 
-/** peers_zone_connected() - whether a registry told who is there, and all
- * brokers of this zone that any told of are connected */
+/** peers_zone_connected() - whether a registry has sent a roster, and all
+ * brokers of this zone that any roster named are connected */
 bool peers_zone_connected(const struct broker *b);
 
-/** peers_send_to_zone() - copies to the other brokers of this zone; frees @m
- */
+/** peers_send_to_zone() - sends copies of @m to the other brokers of this
+ * zone; frees @m */
 void peers_send_to_zone(struct broker *b, struct msg *m);
 
 /* broker_caller.c */
@@ -681,99 +687,109 @@
 
 /* broker_renew.c */
 
-/** renew_init() - how long a job may run without a word of its taker, and
- * upstreams' leases within that */
+/** renew_init() - derives the lease of a job from the options, and limits the
+ * upstreams' leases to it */
 void renew_init(struct broker *b);
 
-/** renew_on_request() - a broker that may run jobs of callers here asks which
- * of them are still waited for; it reads its own clock as @sent_us.  A @check
- * is always answered, loads where it is time. */
+/** renew_on_request() - a possible runner of jobs taken here requests a
+ * renewal of their leases; @sent_us is the runner's clock.  A @check is always
+ * answered, a load only when a renewal is due. */
 void renew_on_request(struct broker *b, struct name from, uint64_t sent_us,
                       bool check);
 
-/** renew_confirmable_us() - the newest time of that broker's clock as of which
- * all callers here that have left are known */
+/** renew_confirmable_us() - newest time of @p's clock that this broker may
+ * confirm jobs for: callers that disconnected before it are known here */
 uint64_t renew_confirmable_us(const struct broker *b,
                               const struct broker_peer *p);
 
-/** renew_reset_peer() - the connection to that broker is gone */
+/** renew_reset_peer() - resets the renewal state of a process whose connection
+ * is lost */
 void renew_reset_peer(struct broker_peer *p);
 
-/** renew_next_us() - now where somebody waits for a renewal, else INT64_MAX */
+/** renew_next_us() - now while a renewal is to be sent, else INT64_MAX */
 int64_t renew_next_us(const struct broker *b);
 
-/** renew_on_renewal() - a taker's answer */
+/** renew_on_renewal() - takes a taker's list of jobs that it confirms */
 void renew_on_renewal(struct broker *b, struct name from,
                       const struct rec_job_renewal *r);
 
-/** renew_echoed_us() - the time that a taker returned, on this clock */
+/** renew_echoed_us() - the timestamp of this broker's clock that a taker
+ * echoed; 0 if it lies ahead of the clock, thus was not taken from it */
 int64_t renew_echoed_us(const struct broker *b, uint64_t heard_us);
 
-/** renew_confirmed_us() - until when the job was known to be waited for */
+/** renew_confirmed_us() - newest time at which the job's caller was known to
+ * be connected */
 int64_t renew_confirmed_us(const struct broker *b, const struct run_job *job);
 
-/** renew_end_interest() - nobody waits for the job from now on */
+/** renew_end_interest() - the job's caller needs no answer from now on; the
+ * lease of the job is not renewed any more */
 void renew_end_interest(const struct broker *b, struct run_job *job);
 
-/** renew_upstream_limit_us() - when all that runs there has to be over, by the
- * jobs that have tasks there */
+/** renew_upstream_limit_us() - when all runs on the upstream must have ended:
+ * the earliest end of the job leases of the tasks there; INT64_MAX for none */
 int64_t renew_upstream_limit_us(struct broker *b,
                                 const struct broker_upstream *u);
 
-/** renew_allows_start() - whether a task of the job may start there: the lease
- * that the upstream has already ends in time for it */
+/** renew_allows_start() - whether a task of the job may start on the upstream:
+ * the lease already granted there does not outlast that of the job */
 bool renew_allows_start(struct broker *b, const struct run_job *job,
                         const struct broker_upstream *u);
 
-/** renew_job_can_start() - whether any task of the job may start.  Its taker
- * is asked where it was not heard lately, so that one may on any upstream. */
+/** renew_job_can_start() - whether the job's lease leaves time to start a
+ * task.  Sends a check to the taker while the lease is too short for some
+ * upstream. */
 bool renew_job_can_start(struct broker *b, const struct run_job *job);
 
-/** renew_tick() - answers brokers that asked, asks takers that were not heard
- * lately, and gives up jobs that nobody has confirmed for a lease */
+/** renew_tick() - sends renewals and checks that are due, and gives up jobs
+ * whose taker has not confirmed them for the time of a lease */
 void renew_tick(struct broker *b);
 
 /* broker_order.c */
 
-/** order_set_times() - sets objective, latest start and place of a new job */
+/** order_set_times() - sets a new job's expected work, objective, deadline,
+ * latest start and position in the queue */
 void order_set_times(struct broker *b, struct run_job *job,
                      const struct rec_job_offer *o);
 
-/** order_admit() - BROKER_NONE, or why the job is refused; *@retry_us is when
- * it would have a chance */
+/** order_admit() - BROKER_NONE, or why the job is refused; *@retry_us is set
+ * to the time after which the caller should retry, 0 where admitted */
 enum broker_reason order_admit(struct broker *b, struct run_job *job,
                                int64_t *retry_us);
 
-/** order_insert() - into the service's queue */
+/** order_insert() - adds the job to the queue of its service */
 void order_insert(struct run_job *job);
+
+/** order_remove() - removes the job from the queue, if it is queued */
 void order_remove(struct run_job *job);
 
-/** order_starts_too_late() - a waiting job that will not start while its
- * answer is of use; *@retry_us is when it would have a chance */
+/** order_starts_too_late() - whether a queued late job can't start while its
+ * answer is still useful; then sets *@retry_us as order_admit() does */
 bool order_starts_too_late(struct broker *b, const struct run_job *job,
                            int64_t *retry_us);
 
-/** order_on_late_start() - a late job's first start is sent */
+/** order_on_late_start() - records the first start of a late job */
 void order_on_late_start(struct broker *b, struct run_job *job);
 
-/** order_demote_if_late() - moves a waiting job that can't be in time any more
- * behind those that can */
+/** order_demote_if_late() - marks a queued job as late once its latest start
+ * has passed, and moves it behind the jobs that can still be in time */
 void order_demote_if_late(struct broker *b, struct run_job *job);
 
-/** order_late_can_start() - whether a late job may take room now */
+/** order_late_can_start() - whether there is enough free capacity for a late
+ * job to start */
 bool order_late_can_start(struct broker *b, const struct run_job *job);
 
-/** order_service_load() - room, and what waits for it */
+/** order_service_load() - capacity of a service's upstreams held here, and the
+ * demand queued for it */
 struct rec_service_load order_service_load(struct broker *b,
                                            const struct broker_service *s);
 
-/** order_expected_us() - run time of a task of that group, on an upstream of
- * usual speed where its data is */
+/** order_expected_us() - expected run time of a task of that group, on an
+ * upstream of usual speed that has the task's data */
 int64_t order_expected_us(const struct run_job *job,
                           const struct rec_task_group *g);
 
-/** order_record_run() - a task ran for so long on an upstream of usual speed
- */
+/** order_record_run() - adds the run time of a task, scaled to an upstream of
+ * usual speed, to the estimate of its queue */
 void order_record_run(struct run_job *job, const struct rec_task_group *g,
                       int64_t ran_us);
 
@@ -830,68 +846,89 @@
                           const struct broker_upstream *u);
 
 /* broker_hold.c */
+
+/** hold_on_upstream_report() - takes a registry's report of upstreams */
 void hold_on_upstream_report(struct broker *b,
                              const struct rec_upstream_report *r);
-/** hold_notify_zone() - tells the zone what was taken and let go in this step
- */
+
+/** hold_notify_zone() - notifies the zone of upstreams taken and released in
+ * this step */
 void hold_notify_zone(struct broker *b);
+
+/** hold_on_peer_holds() - takes a broker's list of upstreams that it took and
+ * released */
 void hold_on_peer_holds(struct broker *b, struct name from,
                         const struct rec_upstream_holds *h);
 
-/** hold_reassign() - takes and gives away upstreams as the view says */
+/** hold_reassign() - takes upstreams that this broker should hold, and
+ * releases those that it should not */
 void hold_reassign(struct broker *b);
 
-/** hold_broker_lost() - a broker holds nothing any more */
+/** hold_broker_lost() - the connection to a broker is lost: the upstreams it
+ * held count as held by nobody */
 void hold_broker_lost(struct broker *b, struct name name);
 
-/** hold_send_held() - tells a broker of the zone what is held here */
+/** hold_send_held() - sends the list of upstreams held here to a broker */
 void hold_send_held(struct broker *b, struct name to);
 
-/** hold_on_pause() - this process stood still: nothing is held any more */
+/** hold_on_pause() - releases all upstreams, after this process was paused for
+ * longer than their leases */
 void hold_on_pause(struct broker *b);
+
+/** hold_has_any() - whether this broker holds any upstream */
 bool hold_has_any(const struct broker *b);
 void hold_tick(struct broker *b);
 int64_t hold_next_us(const struct broker *b);
 
-/** hold_on_fenced() - another broker has a higher fence */
+/** hold_on_fenced() - the upstream has refused a call for a higher fence */
 void hold_on_fenced(struct broker *b, struct broker_upstream *u);
 
-/** hold_on_restart() - the upstream has another life */
+/** hold_on_restart() - the upstream was restarted as incarnation @born_ms */
 void hold_on_restart(struct broker *b, struct broker_upstream *u,
                      uint64_t born_ms);
 
-/** hold_on_poll_answer() - a look was answered: it is there, and nothing that
- * we did not start runs there where @unknown is false */
+/** hold_on_poll_answer() - a poll was answered; @unknown says whether the
+ * upstream has runs that this broker did not start */
 void hold_on_poll_answer(struct broker *b, struct broker_upstream *u,
                          bool unknown);
 
-/** hold_on_poll_failure() - a look was not answered */
+/** hold_on_poll_failure() - a poll got no answer */
 void hold_on_poll_failure(struct broker *b, struct broker_upstream *u);
 
 /* broker_lease.c */
-/* For what the lease's time does not cover: delays on the way, coarse clocks.
- */
+
+/* Added to the time after which a lease counts as expired, for network delays
+ * and coarse clocks. */
 #define EXPIRY_SLACK_US (50 * USEC_PER_MSEC)
 
+/** lease_start() - places a task on an upstream and sends the start */
 void lease_start(struct broker *b, struct broker_upstream *u,
                  struct run_job *job, struct run_task *t);
+
+/** lease_stop() - sends the stop of a placed task, unless @u is NULL or held
+ * by another broker */
 void lease_stop(struct broker *b, struct broker_upstream *u,
                 struct run_job *job, struct run_task *t);
+
+/** lease_poll() - sends a poll, which also extends the lease; the upstream
+ * answers when a run ends, or after a while */
 void lease_poll(struct broker *b, struct broker_upstream *u);
 
-/** lease_task_ref() - how a run is named to an upstream */
+/** lease_task_ref() - the reference by which a run is named to an upstream */
 struct task_ref lease_task_ref(const struct run_job *job,
                                const struct run_task *t);
 
-/** lease_send_stop() - of a run that may not be ours; @job and @number are
- * the task that waits for it, or nothing */
+/** lease_send_stop() - stops a run, which need not have been started here;
+ * @job and @number refer to the task that awaits the answer, @job is empty
+ * for none */
 void lease_send_stop(struct broker *b, struct broker_upstream *u,
                      struct task_ref task, struct handle job, uint32_t number);
 
-/** lease_quick_poll() - looks without waiting, though another look waits */
+/** lease_quick_poll() - sends a poll that is answered at once, also while
+ * another poll is in progress */
 void lease_quick_poll(struct broker *b, struct broker_upstream *u);
 
-/** lease_remove_task() - a task is no longer at its upstream */
+/** lease_remove_task() - removes a task from the list of its upstream */
 void lease_remove_task(struct broker *b, struct broker_upstream *u,
                        const struct run_job *job, const struct run_task *t);
 
@@ -902,24 +939,30 @@
 
 /* broker_shutdown.c */
 
-/** shutdown_begin() - a planned stop has begun */
+/** shutdown_begin() - a planned stop begins: keeps running jobs if no other
+ * broker can take over the upstreams, else returns the jobs not started */
 void shutdown_begin(struct broker *b);
 
-/** shutdown_tick() - ends it when its time has come */
+/** shutdown_tick() - stops running jobs when a successor has appeared or the
+ * time is up */
 void shutdown_tick(struct broker *b);
 
 /** shutdown_next_us() - when shutdown_tick() is due; INT64_MAX for never */
 int64_t shutdown_next_us(const struct broker *b);
 
-/** shutdown_accepts_job() - whether a job is sure to end before the stop does
- */
+/** shutdown_accepts_job() - whether a new job is accepted during the stop: it
+ * is expected to end in time */
 bool shutdown_accepts_job(const struct broker *b, const struct run_job *job);
 
 /* broker_health.c */
-/** broker_health_task_done() - a task ended well; @sample is how slow the
- * upstream was with it, and counts by @weight, 0 to 1 */
+
+/** broker_health_task_done() - a task succeeded; @sample is its run time over
+ * the expected one, and is weighted by @weight, 0 to 1 */
 void broker_health_task_done(struct broker *b, struct broker_upstream *u,
                              double sample, double weight);
+
+/** broker_health_task_failed() - a run failed or stalled on the upstream, or
+ * it could not take a start */
 void broker_health_task_failed(struct broker *b, struct broker_upstream *u);
 
 /** broker_health_allows() - whether the upstream may be given a task now */
--- a/src/estimate.c
+++ b/src/estimate.c
@@ -4,17 +4,20 @@
 #include <stdbool.h>
 
 enum {
-    SAMPLES_MIN = 10, /* before that the declared time counts */
-    MANY_TASKS = 8,   /* tasks, of which one is likely past the tail */
+    SAMPLES_MIN = 10, /* with fewer, the declared run time is used */
+    MANY_TASKS = 8,   /* one of them probably exceeds the 95th percentile */
 };
 
-static const double MEAN_WEIGHT_MIN =
-    0.01; /* weight of a sample in the long run */
-static const double QUANTILE_STEP = 0.05; /* of the quantile estimates */
+/* Least weight of a sample in a moving mean. */
+static const double MEAN_WEIGHT_MIN = 0.01;
+/* Relative step of the percentile estimates. */
+static const double QUANTILE_STEP = 0.05;
 static const double P95 = 0.95;
-static const double INITIAL_FACTOR = 3.0; /* run time over expected */
+/* Initial value of both percentiles of the run time over the expected one. */
+static const double INITIAL_FACTOR = 3.0;
 static const double P99 = 0.99;
-static const double FACTOR_MIN = 1.0; /* of both */
+/* Lower bound of both percentiles. */
+static const double FACTOR_MIN = 1.0;
 
 static void
 update_mean(double *mean, double sample, double weight)
@@ -34,7 +37,7 @@
     return e->ratio_error < e->mean_error;
 }
 
-/* Robbins-Monro: the estimate rests where the share @within lies below it. */
+/* Robbins-Monro: the estimate converges to the quantile @within. */
 static void
 update_quantile(double *estimate, double within, double sample)
 {
--- a/src/estimate.h
+++ b/src/estimate.h
@@ -1,9 +1,9 @@
 /**
- * DOC: estimate - run times learned from what ran
+ * DOC: estimate - estimates run times from completed runs
  *
  * Declared run times are often far off, though sometimes by a steady factor.
- * So two predictions are kept per service, the mean run time and the declared
- * one times the mean ratio, and the one that has erred less is used.
+ * So two predictions are kept, the mean run time and the declared run time
+ * multiplied by the mean ratio, and the one with the smaller error is used.
  */
 #ifndef BM_ESTIMATE_H
 #define BM_ESTIMATE_H
@@ -11,12 +11,12 @@
 #include <stdint.h>
 
 /**
- * struct learned - what is known of a service's run times
- * @samples: tasks seen
- * @mean_us: of their run times, moving
- * @ratio: run time over declared, moving mean
+ * struct run_estimate - run time statistics of a service or queue
+ * @samples: number of runs
+ * @mean_us: moving mean of their run times
+ * @ratio: moving mean of run time over declared run time
  * @mean_error: moving mean of |log(run / mean_us)|
- * @ratio_error: the same for @ratio times declared
+ * @ratio_error: moving mean of |log(run / (ratio * declared))|
  * @p95_factor: 95th percentile of the run time over the expected one
  * @p99_factor: 99th percentile of the same
  */
@@ -30,23 +30,25 @@
     double p99_factor;
 };
 
-/** estimate_add_run() - a task declared to take @declared_us ran for @ran_us
- */
+/** estimate_add_run() - adds a run of @ran_us of a task declared to take
+ * @declared_us */
 void estimate_add_run(struct run_estimate *e, int64_t declared_us,
                       int64_t ran_us);
 
-/** estimate_mean_us() - how long such a task will run, in the mean */
+/** estimate_mean_us() - expected run time of a task declared to take
+ * @declared_us */
 int64_t estimate_mean_us(const struct run_estimate *e, int64_t declared_us);
 
-/** estimate_sum_us() - of @n tasks declared to take @declared_us together */
+/** estimate_sum_us() - expected total run time of @n tasks, declared to take
+ * @declared_us in total */
 int64_t estimate_sum_us(const struct run_estimate *e, uint32_t n,
                         int64_t declared_us);
 
-/** estimate_p95_us() - 19 of 20 such tasks end within this */
+/** estimate_p95_us() - run time within which 19 of 20 such tasks end */
 int64_t estimate_p95_us(const struct run_estimate *e, int64_t declared_us);
 
-/** estimate_longest_us() - within this the longest of @n such tasks ends, most
- * times */
+/** estimate_longest_us() - run time within which the longest of @n such tasks
+ * ends in most cases */
 int64_t estimate_longest_us(const struct run_estimate *e, uint32_t n,
                             int64_t declared_us);
 
--- a/src/lease.h
+++ b/src/lease.h
@@ -1,12 +1,12 @@
 /**
- * DOC: lease - what is said between a broker and an upstream that runs tasks
- * under a lease
+ * DOC: lease - calls of a broker to an upstream that runs tasks under a lease,
+ * and their answers
  *
- * A start is acknowledged at once; how a run ended is learned by looking.  All
- * that runs on an upstream does so until one deadline on the upstream's own
- * clock, which starts and looks move on; when it passes, everything there is
- * killed.  A fence (a rising number) makes the upstream deaf to whoever held
- * it before.
+ * A start is acknowledged at once; the end of a run is returned by a poll.  An
+ * upstream has one lease, a deadline on its own clock, which starts and polls
+ * extend; when it passes, the upstream kills all runs.  Each call carries a
+ * fence, a rising number; an upstream refuses calls with a lower fence than it
+ * has seen, so those of an earlier holder.
  */
 #ifndef BM_LEASE_H
 #define BM_LEASE_H
@@ -14,9 +14,9 @@
 #include "base.h"
 #include "blob.h"
 
-/** struct task_ref - names a run of a task, at every broker and upstream
+/** struct task_ref - identifies a run of a task at all brokers and upstreams
  * @job: the caller's number of the job
- * @group: which of its groups of tasks
+ * @group: index of the task's group in the job
  * @index: of the task in its group
  * @run: rises with each start of the task
  */
@@ -27,35 +27,36 @@
     uint64_t run;
 };
 
-/** enum lease_call - what an upstream is asked for */
+/** enum lease_call - kinds of calls to an upstream */
 enum lease_call {
-    LEASE_START, /* run this */
-    LEASE_STOP,  /* don't run this, now or later */
-    LEASE_POLL,  /* move the deadline on; tell what runs and what ended */
+    LEASE_START, /* run the task */
+    LEASE_STOP,  /* end the run, and refuse to start it later */
+    LEASE_POLL,  /* extend the lease; list current runs and ended ones */
 };
 
-/** enum lease_result - what became of a call */
+/** enum lease_result - outcome of a call */
 enum lease_result {
     LEASE_OK,
-    LEASE_FENCED,    /* refused: it has seen a higher fence */
-    LEASE_STALE_RUN, /* refused: a run as high was stopped or ended there */
-    LEASE_DEADLINE_PASSED, /* refused: its deadline has passed there */
-    LEASE_NO_CAPACITY,     /* refused: it does not fit */
-    LEASE_UNHEALTHY,       /* refused: it says that it is not well */
-    LEASE_WRONG_UPSTREAM,  /* refused: another upstream answers at this address
+    LEASE_FENCED,    /* refused: the upstream has seen a higher fence */
+    LEASE_STALE_RUN, /* refused: this run or a later one was stopped or ended
+                      * there */
+    LEASE_DEADLINE_PASSED, /* refused: the deadline has passed there */
+    LEASE_NO_CAPACITY,     /* refused: not enough free capacity */
+    LEASE_UNHEALTHY,       /* refused: the upstream reports itself unhealthy */
+    LEASE_WRONG_UPSTREAM,  /* refused: another upstream answers at the address
                             */
-    LEASE_BAD_REQUEST,     /* refused: it can't read the call */
-    LEASE_UNSENT,          /* no connection: it never heard of the call */
-    LEASE_NO_ANSWER,       /* no answer: carried out, or not, or later */
+    LEASE_BAD_REQUEST,     /* refused: the call can't be decoded */
+    LEASE_UNSENT,          /* no connection: the call was not sent */
+    LEASE_NO_ANSWER, /* no answer: may have been or still be carried out */
 };
 
-/** lease_result_text() - in a few words, for logs */
+/** lease_result_text() - short text for logs */
 const char *lease_result_text(enum lease_result r);
 
-/** struct lease_running - a run that is there */
+/** struct lease_running - a current run of an upstream */
 struct lease_running {
     struct task_ref task;
-    uint32_t percent; /* of its work that is done */
+    uint32_t percent; /* progress */
 };
 
 /** enum lease_end - how a run ended */
@@ -63,11 +64,12 @@
     LEASE_END_DONE,
     LEASE_END_FAILED,
     LEASE_END_STOPPED,
-    LEASE_END_EXPIRED, /* the deadline passed */
-    LEASE_END_ABORTED, /* another reason that is not the task's own */
+    LEASE_END_EXPIRED, /* the lease expired */
+    LEASE_END_ABORTED, /* another cause that is not the task's fault */
 };
 
-/** struct lease_ended - a run that ended; @number rises from 1 in each life */
+/** struct lease_ended - a run that ended; @number counts the ends of an
+ * incarnation of the upstream, from 1 */
 struct lease_ended {
     uint64_t number;
     struct task_ref task;
@@ -76,11 +78,11 @@
 
 /**
  * struct lease_answer - an upstream's answer
- * @result: of the call; without an answer the rest is zero
- * @clock_ms: the upstream's clock; 0 where it did not tell
- * @born_ms: its life; 0 where it did not tell
- * @running: of a look; owned
- * @ended: of a look: all that was not noted before, in order; owned
+ * @result: of the call; without an answer the other fields are zero
+ * @clock_ms: the upstream's clock; 0 where the answer has none
+ * @born_ms: the upstream's incarnation; 0 where the answer has none
+ * @running: of a poll: the current runs; owned
+ * @ended: of a poll: the ends not acknowledged before, in order; owned
  */
 struct lease_answer {
     enum lease_result result;
@@ -97,16 +99,18 @@
 
 /**
  * struct lease_request - a call
- * @kind: what for
- * @upstream: its name, so that another at its address refuses
- * @address: where it is
+ * @kind: decides which of the other fields are used
+ * @upstream: name of the upstream; another one at the address refuses the call
+ * @address: of the upstream
  * @fence: of the holder
  * @task: of a start or stop
  * @spec: of a start; owned reference
- * @deadline_ms: on the upstream's clock; 0 leaves the deadline as it is
- * @acked: of a look: ends up to this number need not be told again
- * @wait_ms: of a look: an answer without a new end may take so long
- * @timeout_us: without an answer by then it is LEASE_NO_ANSWER
+ * @deadline_ms: the lease, on the upstream's clock; 0 does not change it
+ * @acked: of a poll: acknowledges the ends up to this number, which are not
+ *         listed again
+ * @wait_ms: of a poll: the upstream answers when a run ends, or this time has
+ *           passed
+ * @timeout_us: for the answer; after it the result is LEASE_NO_ANSWER
  */
 struct lease_request {
     enum lease_call kind;
--- a/src/leaseclient.c
+++ b/src/leaseclient.c
@@ -12,23 +12,23 @@
 
 enum {
     EVENTS_MAX = 64,
-    EVENT_ROUNDS_MAX = 8,   /* rounds of events in a row */
+    EVENT_ROUNDS_MAX = 8,   /* rounds of events in one run */
     IDLE_EASY_MAX = 64,     /* easy handles kept for later calls */
     READ_BUFFER = 4 * 1024, /* answers are short; libcurl's own is 16 KiB */
     URL_SIZE = ADDRESS_SIZE + LEASE_PATH_SIZE + 8,
     NEVER = -1,
 };
 
-/* A call on its way; it has no answer if none has come by @due_us. */
+/* A call in progress. */
 struct call {
     struct handle self;
-    int64_t due_us;
+    int64_t due_us; /* times out then */
     uint64_t number;
     struct lease_request request;
     CURL *easy;
     struct curl_slist *headers;
     char *body;
-    unsigned int attempts; /* times the request was about to be sent */
+    unsigned int attempts; /* to send the request on a connection */
     char *answer;
     size_t size;
     size_t answer_capacity;
@@ -39,8 +39,8 @@
     struct leaseclient_options opts;
     CURLM *multi;
     int epoll;
-    int64_t due_us; /* libcurl wants to be called then; NEVER for not */
-    bool due_now;
+    int64_t due_us; /* when libcurl's timer is due, or NEVER */
+    bool due_now;   /* libcurl's timer is due at once */
     struct table calls;
     struct timers timeouts;
     CURL *idle[IDLE_EASY_MAX];
@@ -58,7 +58,7 @@
     };
 }
 
-/* libcurl tells which sockets to watch for what. */
+/* libcurl's callback for the events to watch on a socket. */
 static int
 on_socket(CURL *easy, curl_socket_t fd, int what, void *user, void *socket)
 {
@@ -191,8 +191,8 @@
     return bytes;
 }
 
-/* Its time counts anew from each step that this process takes for it: when it
- * is behind, the first comes long after the call was begun. */
+/* The timeout restarts when libcurl dials and when it sends the request.  When
+ * this process is behind, that is long after the call was made. */
 static void
 restart_timeout(struct call *call)
 {
@@ -208,7 +208,7 @@
     return CURL_SOCKOPT_OK;
 }
 
-/* The parameters are libcurl's. */
+/* libcurl defines the parameters. */
 /* NOLINTBEGIN(readability-non-const-parameter) */
 static int
 before_request(void *user, char *remote, char *local, int remote_port,
@@ -308,11 +308,12 @@
     set_easy_options(call, &c->opts);
     stats_add(&stats.calls_begun, 1);
     if (curl_multi_add_handle(c->multi, call->easy) != CURLM_OK) {
-        abort(); /* only when memory is out */
+        abort(); /* out of memory */
     }
 }
 
-/* An earlier attempt may have been carried out, or may yet be. */
+/* Whether a start is refused after an earlier attempt, which may have been, or
+ * may still be, carried out. */
 static bool
 refused_after_earlier_attempt(const struct call *call,
                               enum lease_result result)
@@ -400,8 +401,8 @@
     return at_us > from_us ? (at_us - from_us) / USEC_PER_MSEC + 1 : 0;
 }
 
-/* When the next call that is still under way may be overdue; most end long
- * before, and nobody need wake for them. */
+/* When the next call still in progress may time out.  Most calls end long
+ * before; the process must not wake up for the timeouts of these. */
 static int64_t
 next_timeout_us(struct leaseclient *c)
 {
@@ -440,7 +441,7 @@
     (void)curl_multi_socket_action(c->multi, e->data.fd, what, &running);
 }
 
-/* Whether all that had come was read. */
+/* Returns whether all pending events were handled. */
 static bool
 handle_events(struct leaseclient *c)
 {
@@ -456,9 +457,9 @@
     return n < EVENTS_MAX;
 }
 
-/* A call has timed out only where its answer is not here by now: when this
- * process is behind, answers wait in its sockets longer than their calls may
- * take, and runs that go well would be stopped. */
+/* Calls are timed out only after all pending answers were read.  When this
+ * process is behind, answers wait in its sockets for longer than the timeout,
+ * and healthy runs would be stopped. */
 void
 leaseclient_run(struct leaseclient *c)
 {
--- a/src/leaseclient.h
+++ b/src/leaseclient.h
@@ -1,12 +1,13 @@
 /**
- * DOC: leaseclient - calls to upstreams that run tasks under a lease, by
- * libcurl
+ * DOC: leaseclient - HTTP client for calls to upstreams that run tasks under a
+ * lease, by libcurl
  *
- * Without a thread: the owner polls leaseclient_fd().  What is said on the
- * wire is a codec's matter.  A call may reach its upstream several times, when
- * libcurl finds a kept connection closed: a start, a stop and a look all mean
- * the same when repeated.  A start that is refused after an earlier attempt is
- * LEASE_NO_ANSWER.
+ * It has no thread: the owner polls leaseclient_fd().  A codec defines the
+ * format of calls and answers.  A call may reach its upstream several times,
+ * since libcurl repeats a request when a kept connection turns out to be
+ * closed; starts, stops and polls are idempotent.  A start that is refused
+ * after an earlier attempt is LEASE_NO_ANSWER, since the earlier one may have
+ * been carried out.
  */
 #ifndef BM_LEASECLIENT_H
 #define BM_LEASECLIENT_H
@@ -17,10 +18,10 @@
 enum { LEASE_PATH_SIZE = 96, LEASE_HEADERS_MAX = 2, LEASE_HEADER_SIZE = 96 };
 
 /**
- * struct lease_http_request - a call as HTTP
- * @path: of the POST
- * @headers: "Name: value", besides the body's type; unused ones are empty
- * @body: JSON, from malloc()
+ * struct lease_http_request - a call as an HTTP POST request
+ * @path: of the URL
+ * @headers: "Name: value", besides Content-Type; unused ones are empty
+ * @body: JSON, from malloc(); owned by the caller of encode()
  */
 struct lease_http_request {
     char path[LEASE_PATH_SIZE];
@@ -29,10 +30,10 @@
 };
 
 /**
- * struct lease_codec - how upstreams of a kind are spoken to
- * @encode: a call
- * @decode: its answer; @out is zeroed before.  An answer that can't be read
- *          is LEASE_NO_ANSWER: what it said is not known.
+ * struct lease_codec - format of calls and answers of a kind of upstreams
+ * @encode: encodes a call
+ * @decode: decodes its answer; @out is zeroed before.  An answer that can't be
+ *          decoded is LEASE_NO_ANSWER, since its outcome is unknown.
  */
 struct lease_codec {
     void (*encode)(const struct lease_request *r,
@@ -42,15 +43,15 @@
 };
 
 /**
- * struct leaseclient_options - how to construct one
- * @codec: of the upstreams
- * @idle_connections_max: idle ones, in all
- * @idle_max_s: a kept connection older than that is not used again
- * @answer_bytes_max: bytes; a longer answer is LEASE_NO_ANSWER
+ * struct leaseclient_options - configuration of a leaseclient
+ * @codec: format of the calls and answers
+ * @idle_connections_max: limit of idle connections to all upstreams
+ * @idle_max_s: a connection idle for longer is not used again
+ * @answer_bytes_max: a longer answer is LEASE_NO_ANSWER
  * @clock: for timeouts
- * @on_outcome: takes each outcome, exactly one a call; the answer is the
- * callee's
- * @ctx: for @on_outcome
+ * @on_outcome: called exactly once for each call, with its outcome; the callee
+ *              owns the answer's lists
+ * @ctx: passed to @on_outcome
  */
 struct leaseclient_options {
     const struct lease_codec *codec;
@@ -64,27 +65,32 @@
 
 struct leaseclient;
 
-/** leaseclient_options_default() - all but @codec, @done and @ctx */
+/** leaseclient_options_default() - defaults of all but @codec, @on_outcome and
+ * @ctx */
 struct leaseclient_options leaseclient_options_default(void);
 
 /** leaseclient_new() - NULL where libcurl can't be set up */
 struct leaseclient *leaseclient_new(const struct leaseclient_options *o);
 
-/** leaseclient_free() - calls in progress get no outcome; NULL is allowed */
+/** leaseclient_free() - drops calls in progress without an outcome; NULL is
+ * allowed */
 void leaseclient_free(struct leaseclient *c);
 
-/** leaseclient_send() - sends a call; takes over what it owns.  Its timeout
- * counts from when the request goes out on a connection; where there is no
- * connection so long after it was dialed, it is LEASE_UNSENT. */
+/** leaseclient_send() - sends a call, and takes over its spec.  The timeout
+ * counts from when the request is sent on a connection.  If no connection is
+ * established within the timeout after dialing, the call is LEASE_UNSENT. */
 void leaseclient_send(struct leaseclient *c, struct be_call *call);
 
-/** leaseclient_fd() - readable when leaseclient_run() has work */
+/** leaseclient_fd() - a descriptor that is readable when leaseclient_run()
+ * has work */
 int leaseclient_fd(const struct leaseclient *c);
 
-/** leaseclient_next_ms() - it has work after that time; -1 for none */
+/** leaseclient_next_ms() - time until leaseclient_run() is due, in ms; -1 for
+ * never */
 int64_t leaseclient_next_ms(struct leaseclient *c);
 
-/** leaseclient_run() - does what there is to do, and tells outcomes */
+/** leaseclient_run() - handles socket events and timeouts, and calls
+ * @on_outcome for calls that ended */
 void leaseclient_run(struct leaseclient *c);
 
 #endif
--- a/src/registry.c
+++ b/src/registry.c
@@ -6,40 +6,42 @@
 #include "map.h"
 #include "roster.h"
 
-/* A life that was replaced by one with an earlier time of birth (its machine's
- * clock was set back in between) is believed gone after this silence: more
- * than two announcements are missing then. */
+/* An incarnation with an earlier start time than the known one (the machine's
+ * clock was set back in between) is accepted after the known one was silent
+ * for this time, in which it missed more than two announcements. */
 #define INCARNATION_SILENT_US (4 * USEC_PER_SEC)
-/* Announced again after such a gap, an upstream is told to the brokers as if
- * it were new: they may have forgotten it. */
+/* An upstream that announces itself again after this gap is reported as
+ * changed: brokers may have removed it. */
 #define REPORT_AGAIN_GAP_US (5 * USEC_PER_SEC)
-/* Ten announcements missing: it speaks elsewhere now, or not at all. */
+/* An upstream that missed ten announcements is removed: it announces itself to
+ * another registry now, or is gone. */
 #define REMOVE_AFTER_US (15 * USEC_PER_SEC)
-/* Between reports of everything; costs 150 bytes an upstream and broker. */
+/* Interval of reports of all upstreams; they cost 150 bytes for each upstream
+ * and broker. */
 #define REPORT_ALL_US (20 * USEC_PER_SEC)
-/* A broker gone for so long leaves the roster. */
+/* A broker that has been disconnected for this time is removed. */
 #define BROKER_REMOVE_US (30 * USEC_PER_SEC)
-/* Brokers are told of others together, so long after the first of them came:
- * all of a region start within 0.3 s.  One that comes is told of the others at
- * once and connects to them by itself. */
+/* New brokers are collected for this time before they are announced to the
+ * others: all brokers of a region start within 0.3 s.  A new broker itself
+ * gets its roster at once, and connects to the brokers on it. */
 #define ROSTER_DELAY_US (200 * USEC_PER_MSEC)
-/* Upstreams that changed are told of together, so long after the first: all of
- * a region announce themselves within 1.5 s, and a message for each to every
- * broker is most of what brokers take in that time. */
+/* Changed upstreams are collected for this time before they are reported.  All
+ * upstreams of a region announce themselves within 1.5 s; a message for each
+ * to every broker would be most of the brokers' incoming traffic then. */
 #define REPORT_DELAY_US (30 * USEC_PER_MSEC)
 
-/* Changes are written to the disk together, so long after the first: a write
- * takes three syncs, and publications wait behind it.  That one leaves is
- * written when brokers are told: after a power loss right then they would else
- * give it work until it says so again. */
+/* Changes are collected for this time before they are saved: a write takes
+ * three syncs, and publications wait behind it.  An upstream that is leaving
+ * is saved as soon as it is reported.  Otherwise, after a power loss just
+ * then, brokers would give it tasks until its next announcement. */
 #define SAVE_DELAY_US (1 * USEC_PER_SEC)
 
-/* An upstream, as it announced itself last. */
+/* An upstream, by its newest announcement. */
 struct announced_upstream {
     struct name name; /* first: looked up by it */
     struct rec_leased_upstream info;
     int64_t last_announced_us;
-    bool is_reported; /* to the brokers, as it is now */
+    bool is_reported; /* whether brokers know the current info */
     struct announced_upstream *next;
 };
 
@@ -48,12 +50,12 @@
     struct announced_upstream *upstreams;
     size_t n_upstreams;
     struct roster roster;
-    struct rec_instance *registries; /* as control knows them */
+    struct rec_instance *registries; /* from control's membership */
     size_t n_registries;
-    int64_t report_all_us;
-    int64_t roster_us; /* of brokers that came; INT64_MAX for none */
-    int64_t report_us; /* of upstreams that changed; INT64_MAX for none */
-    int64_t save_us;   /* those there are; INT64_MAX for no change */
+    int64_t report_all_us; /* when all upstreams are reported next */
+    int64_t roster_us;     /* when new brokers are sent; INT64_MAX for none */
+    int64_t report_us;     /* when changed upstreams are; INT64_MAX for none */
+    int64_t save_us; /* when upstreams are saved; INT64_MAX for no change */
 };
 
 struct registry *
@@ -123,8 +125,8 @@
     s->msg = msg_copy(m);
 }
 
-/* What is known of the broker's zone, all or what it was not told yet: brokers
- * hold upstreams of their own zone alone. */
+/* Sends a broker the upstreams of its zone, all or only unreported ones.
+ * Brokers hold only upstreams of their own zone. */
 static void
 send_report(const struct registry *r, struct control_effects *fx,
             const struct roster_broker *to, bool unreported_only)
@@ -259,7 +261,8 @@
     return u;
 }
 
-/* A goodbye says no more than that: the rest stays as it was. */
+/* The announcement that an upstream is gone carries nothing else; its other
+ * values are kept. */
 static enum registry_result
 mark_gone(struct registry *r, struct announced_upstream *known,
           const struct rec_leased_upstream *u, struct moment now)
@@ -309,8 +312,8 @@
     }
 }
 
-/* One that leaves is left out: a broker that starts would give it work until
- * it says so again. */
+/* Upstreams that are leaving are not saved: after a restart, brokers would
+ * give them tasks until their next announcement. */
 static void
 save(const struct registry *r, struct control_effects *fx)
 {
--- a/src/registry.h
+++ b/src/registry.h
@@ -1,23 +1,23 @@
 /**
- * DOC: registry - the soft state of a registry: which upstreams announced
- * themselves here, and which brokers want to know
+ * DOC: registry - the soft state of a registry: the upstreams that announced
+ * themselves here, and the brokers to report them to
  *
- * A reducer without a clock or I/O of its own.  No quorum is asked: upstreams
- * announce themselves again and again, at any registry, and each broker
- * listens to all it can reach.  So a zone that is cut off goes on with its own
- * registry, and one that restarts is whole again when each upstream has spoken
- * once.
+ * A reducer without a clock or I/O of its own.  It needs no quorum: upstreams
+ * announce themselves periodically, to any registry, and each broker connects
+ * to all registries that it can reach.  So a disconnected zone goes on with
+ * its own registry, and a restarted registry is complete when each upstream
+ * has announced itself once.
  *
- * Until then it tells of those that its disk remembers.  After all power was
- * lost, brokers would else wait for most of a period of announcements beside
- * idle upstreams.  What the disk says is a hint: a broker looks at an upstream
- * before it uses it, a newer announcement overrules it, and it is forgotten
- * like any upstream that is silent.
+ * Until then the registry reports the upstreams saved on its disk.  After a
+ * power loss, brokers would otherwise wait for most of an announcement period
+ * while upstreams are idle.  The saved upstreams are only hints: a broker
+ * polls an upstream before it uses it, a newer announcement replaces the saved
+ * one, and a silent upstream is removed like any other.
  *
- * Brokers are told of upstreams of their own zone: what changed,
- * everything when they connect, and everything again now and then, so that one
- * that forgot an upstream learns of it anew.  Which other brokers each is told
- * of is decided in roster.
+ * Brokers receive reports of the upstreams of their own zone: all when they
+ * connect, changes as they occur, and all again periodically, so that a broker
+ * that removed an upstream adds it again.  The roster module selects the
+ * brokers that are announced to each broker.
  */
 #ifndef BM_REGISTRY_H
 #define BM_REGISTRY_H
@@ -26,52 +26,55 @@
 
 struct registry;
 
-/** enum registry_result - what became of an announcement */
+/** enum registry_result - outcome of an announcement */
 enum registry_result {
-    REGISTRY_CHANGED,   /* taken, and news to the brokers */
-    REGISTRY_UNCHANGED, /* taken, nothing new */
-    REGISTRY_STALE,     /* of an earlier life, or overtaken: not taken */
+    REGISTRY_CHANGED,   /* accepted, to be reported to brokers */
+    REGISTRY_UNCHANGED, /* accepted, nothing to report */
+    REGISTRY_STALE,     /* ignored: of an earlier incarnation, or outdated */
 };
 
-/** registry_new() - knows nobody */
+/** registry_new() - creates a registry without upstreams and brokers */
 struct registry *registry_new(void);
 
 /** registry_free() - NULL is allowed */
 void registry_free(struct registry *r);
 
-/** registry_restore() - what CE_SAVE_UPSTREAMS kept in an earlier life of this
- * process; of a life or a number of announcements that is known already it
- * changes nothing */
+/** registry_restore() - adds the upstreams that CE_SAVE_UPSTREAMS saved before
+ * this process was restarted.  Ignores those that are outdated by an
+ * announcement received since. */
 void registry_restore(struct registry *r,
                       const struct rec_upstream_report *saved,
                       struct moment now);
 
-/** registry_announce() - an upstream says how it is; @u is copied.  Of one
- * that is gone only its name and life count.  Brokers are told by the next
- * registry_tick(). */
+/** registry_announce() - takes an upstream's announcement; @u is copied. Where
+ * @u is gone, only its name and incarnation matter.  Changes are reported by a
+ * later registry_tick(). */
 enum registry_result registry_announce(struct registry *r,
                                        const struct rec_leased_upstream *u,
                                        struct moment now);
 
-/** registry_on_message() - whether the message was one for the registry */
+/** registry_on_message() - handles a message; false if it is not one for the
+ * registry */
 bool registry_on_message(struct registry *r, struct name from,
                          const struct msg *m, struct moment now,
                          struct control_effects *fx);
 
-/** registry_set_members() - the processes that serve as registries */
+/** registry_set_members() - sets the processes that serve as registries, and
+ * sends them to the brokers */
 void registry_set_members(struct registry *r, const struct rec_membership *m,
                           struct control_effects *fx);
 
-/** registry_on_connection() - the connection to a process is there, or is gone
- */
+/** registry_on_connection() - the connection to a process was established
+ * (@up) or lost */
 void registry_on_connection(struct registry *r, struct name peer, bool up,
                             struct moment now);
 
-/** registry_tick() - repeats and forgets; at registry_next_us() */
+/** registry_tick() - sends reports and rosters, saves, and removes silent
+ * upstreams, as due; to be called at registry_next_us() */
 void registry_tick(struct registry *r, struct moment now,
                    struct control_effects *fx);
 
-/** registry_next_us() - when registry_tick() has work, monotonic */
+/** registry_next_us() - when registry_tick() is due, monotonic */
 int64_t registry_next_us(const struct registry *r);
 
 /** struct registry_gauges - sizes, for metrics */
--- a/src/roster.c
+++ b/src/roster.c
@@ -5,7 +5,7 @@
 
 #include <xxhash.h>
 
-/* A broker that may be told of, with its place among those of its zone. */
+/* A broker that may be selected, with its weight in the order of its zone. */
 struct candidate {
     const struct roster_broker *broker;
     uint64_t weight; /* differs between receivers */
@@ -97,7 +97,7 @@
     }
 }
 
-/* Whom to tell */
+/* Selection */
 
 static int
 compare_candidates(const void *x, const void *y)
@@ -118,7 +118,7 @@
     return strcmp(a->broker->name.s, b->broker->name.s);
 }
 
-/* Zone by zone, the best of each zone first. */
+/* All brokers, ordered by zone and preference for the receiver. */
 static struct candidate *
 rank_brokers(const struct roster *r, const struct roster_broker *to, size_t *n)
 {
@@ -150,7 +150,7 @@
 {
     size_t n_ranked;
     struct candidate *all = rank_brokers(r, to, &n_ranked);
-    size_t in_zone = 0; /* place among those of the same zone */
+    size_t in_zone = 0; /* position in the zone */
     size_t n = 0;
 
     *list = calloc(n_ranked + 1, sizeof(**list));
