--- a/tests/broker_runtime_test.c
+++ b/tests/broker_runtime_test.c
@@ -1,5 +1,5 @@
-/* A broker with its threads and sockets: what callers are told of queues while
- * a configuration is on its way. */
+/* A broker with its threads and sockets: answers to callers while a
+ * configuration is being fetched. */
 #include <stdio.h>
 #include <string.h>
 #include <sys/socket.h>
@@ -18,8 +18,8 @@
 static const struct name broker_name = {"broker"};
 static const struct name registry_name = {"registry"};
 
-/* A registry that tells of versions, and sends a text only when it is told
- * to. */
+/* A registry that sends versions and texts of configurations when the test
+ * calls for them. */
 struct registry_side {
     struct peer *peer;
     struct broker_runtime *broker;
@@ -106,7 +106,7 @@
 }
 
 static void
-tell_version(struct registry_side *r, uint64_t version)
+send_version(struct registry_side *r, uint64_t version)
 {
     struct msg m = {.kind = MSG_CONFIG_REPLY};
 
@@ -114,7 +114,7 @@
     peer_send(r->peer, broker_name, &m);
 }
 
-/* One queue, at /@prefix/. */
+/* Sends a configuration of one queue, at /@prefix/. */
 static void
 send_text(struct registry_side *r, uint64_t version, const char *prefix)
 {
@@ -159,16 +159,16 @@
 {
     struct registry_side *r = ctx;
 
-    send_text(r, 1, "one"); /* again until the connection is there */
+    send_text(r, 1, "one"); /* repeated until there is a connection */
     r->path = "one";
     r->status = "200";
     return has_status(r);
 }
 
-/* Guards against 404 for a queue that a newer configuration has, while its
- * text is on its way to the broker. */
+/* Guards against answering 404 for a queue of a newer configuration whose text
+ * has not reached the broker yet. */
 static void
-unknown_queue_is_refused_for_now_while_a_version_is_on_its_way(void)
+unknown_queue_gets_503_while_newer_config_is_fetched(void)
 {
     struct registry_side r = {0};
 
@@ -176,7 +176,7 @@
     CU_ASSERT_TRUE(await_status(&r, "two", "503")); /* no configuration yet */
     CU_ASSERT_TRUE(net_await(sends_first_text, &r));
     CU_ASSERT_TRUE(await_status(&r, "two", "404"));
-    tell_version(&r, 2);
+    send_version(&r, 2);
     CU_ASSERT_TRUE(await_status(&r, "two", "503"));
     CU_ASSERT_PTR_NOT_NULL(strstr(r.answer, "Retry-After"));
     CU_ASSERT_TRUE(await_status(&r, "one", "200"));
@@ -188,7 +188,7 @@
 }
 
 static int
-ask(const struct registry_side *r, const char *path)
+send_request(const struct registry_side *r, const char *path)
 {
     char request[REQUEST_ROOM];
     int fd = net_connect(r->callers_port);
@@ -199,14 +199,14 @@
     return fd;
 }
 
-struct asked {
+struct pending_request {
     struct registry_side *side;
     struct manual_clock clock;
     int fd;
 };
 
 static bool
-is_answered(const struct asked *a)
+is_answered(const struct pending_request *a)
 {
     char byte;
 
@@ -216,17 +216,17 @@
 static bool
 is_answered_after_text(void *ctx)
 {
-    struct asked *a = ctx;
+    struct pending_request *a = ctx;
 
-    send_text(a->side, 1, "one"); /* again until the connection is there */
+    send_text(a->side, 1, "one"); /* repeated until there is a connection */
     return is_answered(a);
 }
 
-/* In steps that are no pause of the process. */
+/* Advances the clock in steps too short to count as a pause of the process. */
 static bool
 is_answered_in_time(void *ctx)
 {
-    struct asked *a = ctx;
+    struct pending_request *a = ctx;
 
     manual_clock_advance(&a->clock, USEC_PER_MSEC);
     return is_answered(a);
@@ -240,37 +240,37 @@
     (void)close(fd);
 }
 
-/* Guards against 503 for all callers that come in the moment between a
- * broker's start and its first configuration, when all power was lost. */
+/* Guards against answering 503 to all callers that connect between a broker's
+ * start and its first configuration, as after a power loss. */
 static void
 callers_wait_for_first_configuration_after_start(void)
 {
     struct registry_side r = {0};
-    struct asked a = {.side = &r};
+    struct pending_request a = {.side = &r};
 
     manual_clock_init(&a.clock, (struct moment){USEC_PER_SEC, USEC_PER_SEC});
     start(&r, &a.clock.base);
-    a.fd = ask(&r, "one");
+    a.fd = send_request(&r, "one");
     CU_ASSERT_TRUE(net_await(is_answered_after_text, &a));
     expect_answer(&r, a.fd, "200");
     broker_runtime_free(r.broker);
     peer_free(r.peer);
 }
 
-/* Guards against callers that are kept for a configuration that does not come,
- * as at a broker that is cut off. */
+/* Guards against callers that wait without limit for a configuration that does
+ * not arrive, as at a broker without connections. */
 static void
-callers_are_told_when_no_configuration_comes(void)
+callers_get_503_when_no_configuration_arrives(void)
 {
     struct registry_side r = {0};
-    struct asked a = {.side = &r};
+    struct pending_request a = {.side = &r};
 
     manual_clock_init(&a.clock, (struct moment){USEC_PER_SEC, USEC_PER_SEC});
     start(&r, &a.clock.base);
-    a.fd = ask(&r, "one");
+    a.fd = send_request(&r, "one");
     CU_ASSERT_TRUE(net_await(is_answered_in_time, &a));
     expect_answer(&r, a.fd, "503");
-    expect_answer(&r, ask(&r, "one"), "503");
+    expect_answer(&r, send_request(&r, "one"), "503");
     broker_runtime_free(r.broker);
     peer_free(r.peer);
 }
@@ -279,8 +279,8 @@
 suite_broker_runtime(void)
 {
 #define TEST(name) check_add("broker_runtime", #name, name)
-    TEST(unknown_queue_is_refused_for_now_while_a_version_is_on_its_way);
+    TEST(unknown_queue_gets_503_while_newer_config_is_fetched);
     TEST(callers_wait_for_first_configuration_after_start);
-    TEST(callers_are_told_when_no_configuration_comes);
+    TEST(callers_get_503_when_no_configuration_arrives);
 #undef TEST
 }
--- a/tests/leaseclient_test.c
+++ b/tests/leaseclient_test.c
@@ -1,4 +1,4 @@
-/* Calls to upstreams: what counts as an answer that did not come. */
+/* Calls to upstreams: which of them count as lost. */
 #include "leaseclient.h"
 
 #include <poll.h>
@@ -15,7 +15,7 @@
 #define TIMEOUT_US (20 * MSEC)
 #define CLOCK_MS 4711
 
-struct one {
+struct fixture {
     struct leaseclient *client;
     struct manual_clock clock;
     int listener;
@@ -35,7 +35,7 @@
     out->body = strdup("{}");
 }
 
-/* As the stand-in answers: LEASE_OK with 200, refusals from 500 on. */
+/* The HTTP status for a result: 200 for LEASE_OK, above 500 for refusals. */
 static long
 status_of(enum lease_result r)
 {
@@ -67,7 +67,7 @@
 static void
 done(void *ctx, uint64_t call, struct lease_answer *answer)
 {
-    struct one *o = ctx;
+    struct fixture *o = ctx;
 
     (void)call;
     o->outcomes++;
@@ -76,7 +76,7 @@
 }
 
 static void
-send_call(struct one *o, enum lease_call kind)
+send_call(struct fixture *o, enum lease_call kind)
 {
     struct be_call call = {.call = 1};
 
@@ -89,7 +89,7 @@
 }
 
 static void
-begin(struct one *o)
+begin(struct fixture *o)
 {
     static const struct lease_codec codec = {encode, decode};
     struct leaseclient_options opts = leaseclient_options_default();
@@ -112,7 +112,7 @@
 static bool
 has_request(void *ctx)
 {
-    struct one *o = ctx;
+    struct fixture *o = ctx;
     struct pollfd dialed = {.fd = o->listener, .events = POLLIN};
     char byte;
 
@@ -126,15 +126,15 @@
 static bool
 has_outcome(void *ctx)
 {
-    struct one *o = ctx;
+    struct fixture *o = ctx;
 
     leaseclient_run(o->client);
     return o->outcomes > 0;
 }
 
-/* The request reaches the upstream. */
+/* Waits until the request reaches the upstream, and reads it. */
 static void
-take_request(struct one *o)
+take_request(struct fixture *o)
 {
     char text[NET_TEXT_SIZE];
 
@@ -143,7 +143,7 @@
 }
 
 static void
-answer_call(struct one *o, enum lease_result r)
+answer_call(struct fixture *o, enum lease_result r)
 {
     char text[NET_TEXT_SIZE];
 
@@ -158,7 +158,7 @@
 enum broken { BROKEN_CLOSED, BROKEN_RESET, BROKEN_WAYS };
 
 static void
-break_connection(struct one *o, enum broken how)
+break_connection(struct fixture *o, enum broken how)
 {
     struct linger reset = {.l_onoff = 1};
 
@@ -169,9 +169,10 @@
     o->fd = -1;
 }
 
-/* A connection keeps the port, so that no other process listens there. */
+/* A connection occupies the port, so that no other process can listen there.
+ */
 static void
-stop_listening(struct one *o)
+stop_listening(struct fixture *o)
 {
     o->port_keeper[0] = net_connect(o->port);
     o->port_keeper[1] = net_accept(o->listener);
@@ -179,9 +180,9 @@
     o->listener = -1;
 }
 
-/* A second call has reached the upstream on the connection of a first. */
+/* A second call reaches the upstream on the connection of a first one. */
 static void
-begin_on_kept_connection(struct one *o, enum lease_call kind)
+begin_on_kept_connection(struct fixture *o, enum lease_call kind)
 {
     begin(o);
     take_request(o);
@@ -192,7 +193,7 @@
 }
 
 static void
-finish(struct one *o)
+finish(struct fixture *o)
 {
     (void)close(o->fd);
     (void)close(o->listener);
@@ -201,33 +202,33 @@
     leaseclient_free(o->client);
 }
 
-/* A broker that is behind reads an answer long after it came.  Taken for lost,
- * a start that went well is stopped and placed anew, at a time when the broker
- * has too much to do already. */
+/* Guards against treating an answer as lost that an overloaded broker reads
+ * long after its arrival: a successful start would be stopped and placed
+ * again, which adds to the load. */
 static void
-late_reader_takes_answer_that_came(void)
+answer_read_late_is_accepted(void)
 {
-    struct one o;
+    struct fixture o;
 
     begin(&o);
     take_request(&o);
     CU_ASSERT(
         net_send_text(o.fd, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"));
     manual_clock_advance(&o.clock, 100 * TIMEOUT_US);
-    clock_sleep(2 * TIMEOUT_US); /* by the machine's clock it is late, too */
+    clock_sleep(2 * TIMEOUT_US); /* late by the machine's clock, too */
     CU_ASSERT(net_await(has_outcome, &o));
     CU_ASSERT_EQUAL(o.result, LEASE_OK);
     CU_ASSERT_EQUAL(o.outcomes, 1);
     finish(&o);
 }
 
-/* A broker that is behind begins to dial long after it decided to.  Taken for
- * an upstream that can't be reached, one after the other is put out, though
- * all are sound. */
+/* Guards against treating an upstream as unreachable because an overloaded
+ * broker dials it long after the call was made: healthy upstreams would be
+ * quarantined one after another. */
 static void
-late_dialer_reaches_upstream(void)
+timeout_restarts_at_a_late_dial(void)
 {
-    struct one o;
+    struct fixture o;
 
     begin(&o);
     manual_clock_advance(&o.clock, 100 * TIMEOUT_US);
@@ -240,13 +241,12 @@
     finish(&o);
 }
 
-/* Hundreds of calls a second end well, each with a timeout some tenths of a
- * second later.  Woken for each of these, a small machine does nothing else.
- */
+/* Guards against a wakeup for the timeout of each ended call: at hundreds of
+ * calls a second, these would use up a small machine. */
 static void
-ended_calls_wake_nobody(void)
+ended_calls_cause_no_wakeup(void)
 {
-    struct one o;
+    struct fixture o;
 
     begin(&o);
     take_request(&o);
@@ -260,11 +260,11 @@
     finish(&o);
 }
 
-/* An upstream that took the request and says nothing. */
+/* An upstream reads the request and does not answer. */
 static void
-silence_is_lost_after_timeout(void)
+no_answer_is_lost_after_timeout(void)
 {
-    struct one o;
+    struct fixture o;
 
     begin(&o);
     take_request(&o);
@@ -279,23 +279,23 @@
 
 static void
 check_second_attempt(enum lease_call kind, enum broken how,
-                     enum lease_result said, enum lease_result expected)
+                     enum lease_result answered, enum lease_result expected)
 {
-    struct one o;
+    struct fixture o;
 
     begin_on_kept_connection(&o, kind);
     break_connection(&o, how);
     take_request(&o);
-    answer_call(&o, said);
+    answer_call(&o, answered);
     CU_ASSERT_EQUAL(o.result, expected);
     CU_ASSERT_EQUAL(o.clock_ms, expected == LEASE_NO_ANSWER ? 0 : CLOCK_MS);
     finish(&o);
 }
 
-/* A start whose first attempt was carried out is placed again at once, and
- * runs twice, when a second attempt is refused. */
+/* Guards against two runs of a task: the first attempt of a start was carried
+ * out, and a refusal of the second attempt would place the task again. */
 static void
-refusal_of_a_second_attempt_is_not_an_answer(void)
+refusal_of_second_start_attempt_is_lost(void)
 {
     for (int r = LEASE_FENCED; r <= LEASE_BAD_REQUEST; r++) {
         for (int how = 0; how < BROKEN_WAYS; how++) {
@@ -304,20 +304,20 @@
     }
 }
 
-/* Taken for lost, a start that goes well is stopped whenever a connection
- * breaks. */
+/* Guards against stopping a successful start whenever a connection breaks, by
+ * treating it as lost. */
 static void
-second_attempt_of_a_start_may_go_well(void)
+second_start_attempt_may_succeed(void)
 {
     for (int how = 0; how < BROKEN_WAYS; how++) {
         check_second_attempt(LEASE_START, how, LEASE_OK, LEASE_OK);
     }
 }
 
-/* A broker that is told of no fence goes on with an upstream that another one
- * holds. */
+/* Guards against a broker that ignores a refusal by fence, and keeps using an
+ * upstream that another broker holds. */
 static void
-second_attempt_of_a_look_or_stop_is_an_answer(void)
+refusal_of_second_poll_or_stop_attempt_is_accepted(void)
 {
     for (int r = LEASE_FENCED; r <= LEASE_BAD_REQUEST; r++) {
         check_second_attempt(LEASE_POLL, BROKEN_RESET, r, r);
@@ -325,13 +325,13 @@
     }
 }
 
-/* Taken for lost, each refused start waits for a stop and a look before it is
- * placed again. */
+/* Guards against treating a refused start as lost: its task would wait for a
+ * stop and a poll before it is placed again. */
 static void
-refusal_of_the_only_attempt_is_an_answer(void)
+refusal_of_only_attempt_is_accepted(void)
 {
     for (int r = LEASE_FENCED; r <= LEASE_BAD_REQUEST; r++) {
-        struct one o;
+        struct fixture o;
 
         begin_on_kept_connection(&o, LEASE_START);
         answer_call(&o, r);
@@ -340,13 +340,14 @@
     }
 }
 
-/* A start whose first attempt was carried out is placed again at once, and
- * runs twice, when there is no connection for a second one. */
+/* Guards against two runs of a task: the first attempt of a start was carried
+ * out, and the lack of a connection for the second would place the task again.
+ */
 static void
-failed_connect_after_an_attempt_is_lost(void)
+failed_connect_after_attempt_is_lost(void)
 {
     for (int how = 0; how < BROKEN_WAYS; how++) {
-        struct one o;
+        struct fixture o;
 
         begin_on_kept_connection(&o, LEASE_START);
         stop_listening(&o);
@@ -358,12 +359,12 @@
     }
 }
 
-/* Taken for lost, a start waits for its lease to pass on an upstream that is
- * gone. */
+/* Guards against treating a start that was never sent as lost: its task would
+ * wait for the lease of an unreachable upstream to expire. */
 static void
-failed_connect_without_an_attempt_is_unsent(void)
+failed_connect_without_attempt_is_unsent(void)
 {
-    struct one o;
+    struct fixture o;
 
     begin(&o);
     stop_listening(&o);
@@ -376,24 +377,25 @@
 void
 suite_leaseclient(void)
 {
-    check_add("leaseclient", "late_reader_takes_answer_that_came",
-              late_reader_takes_answer_that_came);
-    check_add("leaseclient", "late_dialer_reaches_upstream",
-              late_dialer_reaches_upstream);
-    check_add("leaseclient", "ended_calls_wake_nobody",
-              ended_calls_wake_nobody);
-    check_add("leaseclient", "silence_is_lost_after_timeout",
-              silence_is_lost_after_timeout);
-    check_add("leaseclient", "refusal_of_a_second_attempt_is_not_an_answer",
-              refusal_of_a_second_attempt_is_not_an_answer);
-    check_add("leaseclient", "second_attempt_of_a_start_may_go_well",
-              second_attempt_of_a_start_may_go_well);
-    check_add("leaseclient", "second_attempt_of_a_look_or_stop_is_an_answer",
-              second_attempt_of_a_look_or_stop_is_an_answer);
-    check_add("leaseclient", "refusal_of_the_only_attempt_is_an_answer",
-              refusal_of_the_only_attempt_is_an_answer);
-    check_add("leaseclient", "failed_connect_after_an_attempt_is_lost",
-              failed_connect_after_an_attempt_is_lost);
-    check_add("leaseclient", "failed_connect_without_an_attempt_is_unsent",
-              failed_connect_without_an_attempt_is_unsent);
+    check_add("leaseclient", "answer_read_late_is_accepted",
+              answer_read_late_is_accepted);
+    check_add("leaseclient", "timeout_restarts_at_a_late_dial",
+              timeout_restarts_at_a_late_dial);
+    check_add("leaseclient", "ended_calls_cause_no_wakeup",
+              ended_calls_cause_no_wakeup);
+    check_add("leaseclient", "no_answer_is_lost_after_timeout",
+              no_answer_is_lost_after_timeout);
+    check_add("leaseclient", "refusal_of_second_start_attempt_is_lost",
+              refusal_of_second_start_attempt_is_lost);
+    check_add("leaseclient", "second_start_attempt_may_succeed",
+              second_start_attempt_may_succeed);
+    check_add("leaseclient",
+              "refusal_of_second_poll_or_stop_attempt_is_accepted",
+              refusal_of_second_poll_or_stop_attempt_is_accepted);
+    check_add("leaseclient", "refusal_of_only_attempt_is_accepted",
+              refusal_of_only_attempt_is_accepted);
+    check_add("leaseclient", "failed_connect_after_attempt_is_lost",
+              failed_connect_after_attempt_is_lost);
+    check_add("leaseclient", "failed_connect_without_attempt_is_unsent",
+              failed_connect_without_attempt_is_unsent);
 }
--- a/tests/lives_test.c
+++ b/tests/lives_test.c
@@ -1,5 +1,5 @@
-/* Lives of one job that is handed in again: at most one run of a task at a
- * time, whichever runners they have. */
+/* Jobs that are submitted again: a task has at most one run at a time,
+ * whatever runners the submissions have. */
 #include <stdio.h>
 #include <string.h>
 
@@ -12,18 +12,18 @@
 #define RUN_US (3 * SEC)
 #define RESEND_US (1300 * MSEC)
 #define SEEDS 20
-/* Of the default region: zone 0 has these; its runner is broker 0.  Every
- * third upstream has a slow clock. */
+/* Processes of the default region.  Zone 0 has ZONE_UPSTREAMS upstreams, and
+ * broker 0 is its runner.  Every third upstream has a slow clock. */
 enum {
     RUNNER = 0,
     TAKER = 1,
     OTHER_ZONE = 2,
     ZONE_UPSTREAMS = 8,
-    SLOW_EACH = 3
+    SLOW_CLOCK_EACH = 3
 };
 enum { SHORT_TASKS = 2 };
 
-/* The callers of these tests are handed in again by the test alone. */
+/* Only the tests submit jobs again: callers would do so after 60 s. */
 static struct vlease_options
 long_jobs(uint64_t seed)
 {
@@ -45,7 +45,7 @@
     return v;
 }
 
-/* Stops of a lossy path; @ctx tells whether it loses them now. */
+/* Loses stops while *@ctx is true. */
 static enum vlease_fate
 lose_stops(void *ctx, struct vlease *v, const struct vlease_hop *hop)
 {
@@ -57,7 +57,7 @@
 }
 
 static void
-trouble_zone(struct vlease *v, enum vlease_trouble trouble)
+set_zone_trouble(struct vlease *v, enum vlease_trouble trouble)
 {
     for (uint32_t i = 0; i < ZONE_UPSTREAMS; i++) {
         vlease_trouble(v, i, trouble);
@@ -83,7 +83,7 @@
     }
 }
 
-/* Everything comes to its end, and the job was run. */
+/* Checks that all runs end and the job is completed. */
 static void
 assert_job_ends(struct vlease *v, uint64_t job, int64_t now_us,
                 const char *test, uint64_t seed)
@@ -94,11 +94,11 @@
     assert_no_fault(v, test, seed);
 }
 
-/* The job is handed in again at another zone; @losing are the stops, which are
- * lost until all of the first life must be over.  Frees the region. */
+/* Submits the job again in another zone.  Stops are lost, by @losing, until
+ * all runs of the first submission must have ended.  Frees the region. */
 static void
-come_again(struct vlease *v, uint64_t job, int64_t at_us, bool *losing,
-           const char *test, uint64_t seed)
+resubmit_and_check(struct vlease *v, uint64_t job, int64_t at_us, bool *losing,
+                   const char *test, uint64_t seed)
 {
     vlease_run(v, at_us);
     vlease_resubmit(v, job, OTHER_ZONE);
@@ -108,8 +108,8 @@
     vlease_free(v);
 }
 
-/* The taker of a job is killed, and on the path to its upstreams stops are
- * lost while looks get through. */
+/* The taker of a job is killed; stops to the upstreams are lost, while polls
+ * are not. */
 static void
 taker_dies_and_stops_are_lost(void)
 {
@@ -124,12 +124,13 @@
         vlease_run(v, broken_us);
         CU_ASSERT_EQUAL(vlease_running(v), 4);
         vlease_kill(v, TAKER);
-        come_again(v, job, broken_us + RESEND_US, &losing, __func__, seed);
+        resubmit_and_check(v, job, broken_us + RESEND_US, &losing, __func__,
+                           seed);
     }
 }
 
-/* The taker falls silent, and before its runner notices the runner's upstreams
- * are cut off, so that no stop reaches them. */
+/* The taker falls silent.  Before the runner notices, its upstreams are
+ * disconnected, so that no stop reaches them. */
 static void
 taker_falls_silent_before_upstreams_are_cut_off(void)
 {
@@ -143,11 +144,11 @@
         CU_ASSERT_EQUAL(vlease_running(v), 4);
         vlease_cut(v, TAKER, true, true);
         vlease_run(v, silent_us + 700 * MSEC);
-        trouble_zone(v, VLEASE_CUT);
+        set_zone_trouble(v, VLEASE_CUT);
         vlease_run(v, silent_us + RESEND_US);
         vlease_resubmit(v, job, OTHER_ZONE);
         vlease_run(v, silent_us + RESEND_US + 1400 * MSEC);
-        trouble_zone(v, VLEASE_SOUND);
+        set_zone_trouble(v, VLEASE_SOUND);
         vlease_cut(v, TAKER, false, false);
         assert_job_ends(v, job, silent_us + RESEND_US + 1400 * MSEC, __func__,
                         seed);
@@ -155,9 +156,10 @@
     }
 }
 
-/* Callers come again after 0.7 s, less than the longest lease of upstreams. */
+/* Callers submit again after 0.7 s, less than the longest lease of upstreams.
+ */
 static void
-callers_that_come_sooner_find_shorter_leases(void)
+callers_submitting_sooner_get_shorter_leases(void)
 {
     for (uint64_t seed = 1; seed <= SEEDS; seed++) {
         struct vlease_options o = long_jobs(seed);
@@ -174,15 +176,15 @@
         vlease_run(v, broken_us);
         CU_ASSERT_EQUAL(vlease_running(v), 4);
         vlease_kill(v, TAKER);
-        come_again(v, job, again_us, &losing, __func__, seed);
+        resubmit_and_check(v, job, again_us, &losing, __func__, seed);
     }
 }
 
-/* The caller leaves and comes back at once, twice, while stops are lost.  The
- * second life is dropped while it waits for the first; the third must wait for
- * the first no less. */
+/* The caller disconnects and submits again at once, twice, while stops are
+ * lost.  The second submission is dropped while it waits for the runs of the
+ * first; the third must wait for these runs too. */
 static void
-third_life_waits_for_the_first(void)
+submissions_wait_for_the_first(void)
 {
     for (uint64_t seed = 1; seed <= SEEDS; seed++) {
         struct vlease_options o = long_jobs(seed);
@@ -194,7 +196,7 @@
         vlease_set_hook(v, lose_stops, &losing);
         vlease_run(v, left_us);
         CU_ASSERT_EQUAL(vlease_running(v), 4);
-        for (int life = 2; life <= 3; life++) {
+        for (int submission = 2; submission <= 3; submission++) {
             vlease_leave(v, job);
             vlease_run(v, left_us + 20 * MSEC);
             vlease_resubmit(v, job, TAKER);
@@ -208,8 +210,8 @@
     }
 }
 
-/* A path on which stops are lost, and starts to upstreams with a slow clock
- * are late while @late. */
+/* A path that loses stops while @losing, and delays starts to upstreams with a
+ * slow clock while @late. */
 struct slow_path {
     bool late;
     bool losing;
@@ -222,15 +224,15 @@
     struct slow_path *path = ctx;
 
     if (path->late && strcmp(hop->label, "start") == 0 &&
-        hop->upstream % SLOW_EACH == 0) {
+        hop->upstream % SLOW_CLOCK_EACH == 0) {
         path->n_late++;
         return VLEASE_DELAY;
     }
     return lose_stops(&path->losing, v, hop);
 }
 
-/* One task fills an upstream.  Those of the second queue keep two upstreams
- * occupied that are free when tasks of the first are placed again. */
+/* One task fills an upstream.  Tasks of the second queue keep two upstreams
+ * busy, which are free when tasks of the first queue are placed again. */
 static struct vlease_options
 wide_and_short_jobs(uint64_t seed)
 {
@@ -246,11 +248,11 @@
     return o;
 }
 
-/* An upstream with a slow clock was idle for long, so that its clock is taken
- * to be further than it is.  A start that comes so late that its task was
- * placed again must be refused there all the same. */
+/* Guards against a late start that is accepted after its task was placed
+ * again. An upstream with a slow clock was idle for long; if the broker
+ * overestimates that clock, the start's deadline lies too far ahead. */
 static void
-clock_of_an_idle_upstream_is_not_taken_too_far_ahead(void)
+clock_of_a_long_idle_upstream_is_never_overestimated(void)
 {
     for (uint64_t seed = 1; seed <= SEEDS; seed++) {
         struct vlease_options o = wide_and_short_jobs(seed);
@@ -275,9 +277,9 @@
     }
 }
 
-/* Jobs of the runner's own callers: the second queue's leave room for nothing
- * else at any upstream of zone 0, and those of the third go on longer there.
- */
+/* Queues for jobs of the runner's own callers.  Jobs of the second queue leave
+ * no capacity for the first queue at any upstream of zone 0, and jobs of the
+ * third run longer there. */
 static struct vlease_options
 full_zone(uint64_t seed)
 {
@@ -295,8 +297,9 @@
     return o;
 }
 
-/* A job waits for room while its taker falls silent, and starts 0.2 to 0.6 s
- * later, before its runner notices, at upstreams whose lease others extend. */
+/* A job waits for capacity while its taker falls silent.  It starts 0.2 to
+ * 0.6 s later, before the runner notices, on upstreams whose lease is extended
+ * for other jobs. */
 static void
 job_starts_after_its_taker_fell_silent(void)
 {
@@ -326,10 +329,11 @@
     }
 }
 
-/* The runner stands still while the taker's machine is lost, and then reads
- * what the taker said before: that does not tell that the taker is there. */
+/* The runner is paused while the taker's machine is lost, and then reads
+ * messages that the taker sent before.  These must not renew the job's lease.
+ */
 static void
-runner_wakes_after_its_taker_died(void)
+runner_resumes_after_taker_failed(void)
 {
     for (uint64_t seed = 1; seed <= SEEDS; seed++) {
         struct vlease_options o = long_jobs(seed);
@@ -347,14 +351,15 @@
         vlease_pause(v, RUNNER, 700 * MSEC);
         vlease_run(v, broken_us);
         vlease_lose_machine(v, TAKER);
-        come_again(v, job, broken_us + RESEND_US, &losing, __func__, seed);
+        resubmit_and_check(v, job, broken_us + RESEND_US, &losing, __func__,
+                           seed);
     }
 }
 
-/* A broker stands still while its caller leaves, and goes on with looks before
- * it finds out. */
+/* A broker is paused while its caller disconnects, and sends polls before it
+ * notices that. */
 static void
-caller_left_a_broker_that_stood_still(uint32_t taker, int64_t pause_us,
+caller_leaves_while_broker_was_paused(uint32_t taker, int64_t pause_us,
                                       uint64_t seed)
 {
     struct vlease_options o = long_jobs(seed);
@@ -380,18 +385,18 @@
 }
 
 static void
-callers_that_left_in_a_standstill_are_not_waiting(void)
+callers_that_left_during_a_pause_are_not_connected(void)
 {
     for (uint64_t seed = 1; seed <= SEEDS; seed++) {
         int64_t pause_us = (int64_t)seed * 50 * MSEC;
 
-        caller_left_a_broker_that_stood_still(RUNNER, pause_us, seed);
-        caller_left_a_broker_that_stood_still(TAKER, pause_us, seed);
+        caller_leaves_while_broker_was_paused(RUNNER, pause_us, seed);
+        caller_leaves_while_broker_was_paused(TAKER, pause_us, seed);
     }
 }
 
-/* Stands a broker still as a renewal reaches it. */
-struct standstill {
+/* Pauses the runner when a renewal reaches it, once @due. */
+struct renewal_pause {
     bool due;
     bool losing;
 };
@@ -399,7 +404,7 @@
 static enum vlease_fate
 pause_at_renewal(void *ctx, struct vlease *v, const struct vlease_hop *hop)
 {
-    struct standstill *s = ctx;
+    struct renewal_pause *s = ctx;
 
     if (s->due && strcmp(hop->label, "job_renewal") == 0 &&
         hop->to == RUNNER) {
@@ -409,14 +414,14 @@
     return lose_stops(&s->losing, v, hop);
 }
 
-/* The runner stands still with a renewal to read, and its taker's machine is
- * lost: what the renewal confirms is as old as the standstill. */
+/* The runner is paused with an unread renewal, and the taker's machine is
+ * lost. The renewal confirms the job only as of the time before the pause. */
 static void
-renewal_read_after_a_standstill_is_old(void)
+renewal_read_after_a_pause_is_outdated(void)
 {
     for (uint64_t seed = 1; seed <= SEEDS; seed++) {
         struct vlease_options o = long_jobs(seed);
-        struct standstill s = {.losing = true};
+        struct renewal_pause s = {.losing = true};
         int64_t now_us = READY_US + 200 * MSEC;
         struct vlease *v;
         uint64_t job;
@@ -433,7 +438,8 @@
         }
         CU_ASSERT_FALSE(s.due);
         vlease_lose_machine(v, TAKER);
-        come_again(v, job, now_us + RESEND_US, &s.losing, __func__, seed);
+        resubmit_and_check(v, job, now_us + RESEND_US, &s.losing, __func__,
+                           seed);
     }
 }
 
@@ -445,8 +451,8 @@
     return strcmp(hop->label, "job_renewal") == 0 ? VLEASE_LOSE : VLEASE_PASS;
 }
 
-/* A taker is too slow to confirm its jobs while its connections stay: its
- * callers must hear at once that the outcome is not known. */
+/* The renewals of a taker do not arrive while its connections stay up.  Its
+ * callers must be answered at once that the outcome is unknown. */
 static void
 unconfirmed_jobs_are_answered(void)
 {
@@ -467,16 +473,18 @@
     }
 }
 
-/* Faults drawn by seed; each ends by itself. */
+/* Random faults, by seed; each ends after a while. */
 
-enum { DRAWN_SEEDS = 30, BROKERS = 6, ZONES = 3, BROKEN_MAX = 2 };
-#define DRAWN_FOR_US (12 * SEC)
+enum { RANDOM_SEEDS = 30, BROKERS = 6, ZONES = 3, BROKEN_BROKERS_MAX = 2 };
+#define FAULTS_FOR_US (12 * SEC)
 #define STEP_US (50 * MSEC)
-/* A loss that is noticed by its silence lasts for longer than that. */
+/* Faults of brokers last at least this long, so that the other brokers notice
+ * the silence. */
 #define UNNOTICED_US (800 * MSEC)
 
-/* When what was struck is well again; 0 while it is. */
-struct drawn {
+/* End times of the faults of brokers, of zones' upstreams and of lossy stops;
+ * 0 for no fault. */
+struct random_faults {
     struct vlease *v;
     uint64_t random;
     int64_t now_us;
@@ -488,7 +496,7 @@
 };
 
 static int64_t
-drawn_us(struct drawn *d, int64_t least_us, int64_t most_us)
+random_us(struct random_faults *d, int64_t least_us, int64_t most_us)
 {
     uint64_t range = (uint64_t)(most_us - least_us);
 
@@ -496,13 +504,13 @@
 }
 
 static uint32_t
-drawn_below(struct drawn *d, uint32_t n)
+random_below(struct random_faults *d, uint32_t n)
 {
     return (uint32_t)(random_next(&d->random) % n);
 }
 
 static uint32_t
-broken(const struct drawn *d)
+count_broken(const struct random_faults *d)
 {
     uint32_t n = 0;
 
@@ -513,15 +521,15 @@
 }
 
 static void
-strike_broker(struct drawn *d)
+break_broker(struct random_faults *d)
 {
-    uint32_t i = drawn_below(d, BROKERS);
-    int64_t us = drawn_us(d, UNNOTICED_US, 2 * SEC);
+    uint32_t i = random_below(d, BROKERS);
+    int64_t us = random_us(d, UNNOTICED_US, 2 * SEC);
 
-    if (d->brokers_us[i] > 0 || broken(d) == BROKEN_MAX) {
+    if (d->brokers_us[i] > 0 || count_broken(d) == BROKEN_BROKERS_MAX) {
         return;
     }
-    switch (drawn_below(d, 4)) {
+    switch (random_below(d, 4)) {
     case 0:
         vlease_kill(d->v, i);
         break;
@@ -530,50 +538,50 @@
         break;
     case 2:
         d->cut[i] = true;
-        vlease_cut(d->v, i, true, drawn_below(d, 2) == 0);
+        vlease_cut(d->v, i, true, random_below(d, 2) == 0);
         break;
     default:
-        us = drawn_us(d, 300 * MSEC, RESEND_US);
+        us = random_us(d, 300 * MSEC, RESEND_US);
         vlease_pause(d->v, i, us);
         break;
     }
     d->brokers_us[i] = d->now_us + us;
 }
 
-/* All upstreams of a zone, or some. */
+/* Disturbs all upstreams of a zone, or some. */
 static void
-strike_zone(struct drawn *d)
+break_zone_upstreams(struct random_faults *d)
 {
     static const enum vlease_trouble troubles[] = {VLEASE_CUT, VLEASE_MUTE,
                                                    VLEASE_DELAYS};
-    uint32_t zone = drawn_below(d, ZONES);
-    enum vlease_trouble trouble = troubles[drawn_below(d, 3)];
-    bool all = drawn_below(d, 2) == 0;
+    uint32_t zone = random_below(d, ZONES);
+    enum vlease_trouble trouble = troubles[random_below(d, 3)];
+    bool all = random_below(d, 2) == 0;
 
     if (d->zones_us[zone] > 0) {
         return;
     }
-    d->zones_us[zone] = d->now_us + drawn_us(d, 500 * MSEC, 2 * SEC);
+    d->zones_us[zone] = d->now_us + random_us(d, 500 * MSEC, 2 * SEC);
     for (uint32_t i = 0; i < ZONE_UPSTREAMS; i++) {
-        if (all || drawn_below(d, 2) == 0) {
+        if (all || random_below(d, 2) == 0) {
             vlease_trouble(d->v, zone * ZONE_UPSTREAMS + i, trouble);
         }
     }
 }
 
 static void
-strike(struct drawn *d)
+inject_fault(struct random_faults *d)
 {
-    switch (drawn_below(d, 12)) {
+    switch (random_below(d, 12)) {
     case 0:
-        strike_broker(d);
+        break_broker(d);
         break;
     case 1:
-        strike_zone(d);
+        break_zone_upstreams(d);
         break;
     case 2:
         d->losing = true;
-        d->losing_us = d->now_us + drawn_us(d, 500 * MSEC, 2 * SEC);
+        d->losing_us = d->now_us + random_us(d, 500 * MSEC, 2 * SEC);
         break;
     default:
         break;
@@ -581,7 +589,7 @@
 }
 
 static bool
-is_over(const struct drawn *d, int64_t *until_us)
+is_over(const struct random_faults *d, int64_t *until_us)
 {
     if (*until_us == 0 || *until_us > d->now_us) {
         return false;
@@ -591,7 +599,7 @@
 }
 
 static void
-heal_broker(struct drawn *d, uint32_t i)
+restore_broker(struct random_faults *d, uint32_t i)
 {
     if (d->cut[i]) {
         vlease_cut(d->v, i, false, false);
@@ -601,11 +609,11 @@
 }
 
 static void
-heal(struct drawn *d)
+end_faults(struct random_faults *d)
 {
     for (uint32_t i = 0; i < BROKERS; i++) {
         if (is_over(d, &d->brokers_us[i])) {
-            heal_broker(d, i);
+            restore_broker(d, i);
         }
     }
     for (uint32_t i = 0; i < ZONES * ZONE_UPSTREAMS; i++) {
@@ -624,20 +632,20 @@
 }
 
 static void
-step_to(struct drawn *d, int64_t until_us, bool strikes)
+advance_to(struct random_faults *d, int64_t until_us, bool inject)
 {
     while (d->now_us < until_us) {
         d->now_us += STEP_US;
         vlease_run(d->v, d->now_us);
-        heal(d);
-        if (strikes) {
-            strike(d);
+        end_faults(d);
+        if (inject) {
+            inject_fault(d);
         }
     }
 }
 
 static struct vlease_options
-jobs_anywhere(uint64_t seed)
+resubmitted_anywhere(uint64_t seed)
 {
     struct vlease_options o = vlease_options_default();
 
@@ -653,35 +661,36 @@
 }
 
 static void
-draw_faults(uint64_t seed)
+play_faults(uint64_t seed)
 {
-    struct vlease_options o = jobs_anywhere(seed);
-    struct drawn d = {
+    struct vlease_options o = resubmitted_anywhere(seed);
+    struct random_faults d = {
         .v = ready_region(&o), .random = seed * 77777, .now_us = READY_US};
 
     vlease_set_hook(d.v, lose_stops, &d.losing);
     vlease_load(d.v, 1);
-    step_to(&d, READY_US + DRAWN_FOR_US, true);
+    advance_to(&d, READY_US + FAULTS_FOR_US, true);
     vlease_load(d.v, 0);
-    step_to(&d, d.now_us + 14 * SEC, false);
+    advance_to(&d, d.now_us + 14 * SEC, false);
     CU_ASSERT_EQUAL(vlease_running(d.v), 0);
     CU_ASSERT_EQUAL(vlease_figures(d.v, 0).open, 0);
     assert_no_fault(d.v, __func__, seed);
     vlease_free(d.v);
 }
 
-/* Brokers, upstreams and stops are lost for a while, one after another and
- * together; callers come back at any broker of the region. */
+/* Brokers, upstreams and stops fail for a while, one after another and at the
+ * same time; callers submit again at any broker of the region. */
 static void
-drawn_faults_with_callers_anywhere(void)
+random_faults_with_resubmission_anywhere(void)
 {
-    static const uint64_t failed[] = {102, 264, 353, 386, 800};
+    static const uint64_t failed_before[] = {102, 264, 353, 386, 800};
 
-    for (uint64_t seed = 1; seed <= DRAWN_SEEDS; seed++) {
-        draw_faults(seed);
+    for (uint64_t seed = 1; seed <= RANDOM_SEEDS; seed++) {
+        play_faults(seed);
     }
-    for (size_t i = 0; i < sizeof(failed) / sizeof(failed[0]); i++) {
-        draw_faults(failed[i]);
+    for (size_t i = 0; i < sizeof(failed_before) / sizeof(failed_before[0]);
+         i++) {
+        play_faults(failed_before[i]);
     }
 }
 
@@ -691,14 +700,14 @@
 #define TEST(name) check_add("lives", #name, name)
     TEST(taker_dies_and_stops_are_lost);
     TEST(taker_falls_silent_before_upstreams_are_cut_off);
-    TEST(callers_that_come_sooner_find_shorter_leases);
-    TEST(third_life_waits_for_the_first);
-    TEST(clock_of_an_idle_upstream_is_not_taken_too_far_ahead);
+    TEST(callers_submitting_sooner_get_shorter_leases);
+    TEST(submissions_wait_for_the_first);
+    TEST(clock_of_a_long_idle_upstream_is_never_overestimated);
     TEST(job_starts_after_its_taker_fell_silent);
-    TEST(runner_wakes_after_its_taker_died);
-    TEST(callers_that_left_in_a_standstill_are_not_waiting);
-    TEST(renewal_read_after_a_standstill_is_old);
+    TEST(runner_resumes_after_taker_failed);
+    TEST(callers_that_left_during_a_pause_are_not_connected);
+    TEST(renewal_read_after_a_pause_is_outdated);
     TEST(unconfirmed_jobs_are_answered);
-    TEST(drawn_faults_with_callers_anywhere);
+    TEST(random_faults_with_resubmission_anywhere);
 #undef TEST
 }
--- a/tests/reborn_test.c
+++ b/tests/reborn_test.c
@@ -1,4 +1,5 @@
-/* Upstreams that start anew under their id, among calls of before. */
+/* Upstreams that restart under the same id, while calls to their earlier
+ * incarnation are still in progress. */
 #include <stdio.h>
 #include <string.h>
 
@@ -8,11 +9,11 @@
 #define MSEC USEC_PER_MSEC
 #define SEC USEC_PER_SEC
 #define READY_US (6 * SEC) /* upstreams are known and held by then */
-/* Heartbeats of upstreams come so often. */
+/* Interval of upstreams' heartbeats. */
 #define HEARTBEAT_US (1500 * MSEC)
 enum { SEEDS = 20, LOAD_SEEDS = 200 };
 
-/* The first start of job 1 is late by 3 s, see vlease_hook(). */
+/* The first start, of job 1, is delayed by 3 s, see vlease_hook(). */
 struct late_start {
     uint32_t runner;
     uint32_t upstream;
@@ -21,20 +22,20 @@
 static enum vlease_fate
 delay_first_start(void *ctx, struct vlease *v, const struct vlease_hop *hop)
 {
-    struct late_start *l = ctx;
+    struct late_start *late = ctx;
 
     (void)v;
-    if (l->upstream != VLEASE_NOBODY || strcmp(hop->label, "start") != 0) {
+    if (late->upstream != VLEASE_NOBODY || strcmp(hop->label, "start") != 0) {
         return VLEASE_PASS;
     }
-    l->runner = hop->from;
-    l->upstream = hop->upstream;
+    late->runner = hop->from;
+    late->upstream = hop->upstream;
     return VLEASE_DELAY;
 }
 
-/* One zone with upstreams of two sizes; jobs of one long task each.  The job
- * of queue 0 goes to a small upstream first, and to a large one when a job of
- * queue 1 has left just its room there. */
+/* One zone with upstreams of two sizes; jobs of one long task each.  A job of
+ * queue 0 is placed on a small upstream at first, and on a large one when a
+ * job of queue 1 leaves exactly enough capacity there. */
 static struct vlease *
 long_jobs(uint64_t seed, uint32_t brokers, int64_t reborn_silent_us)
 {
@@ -57,7 +58,7 @@
     return v;
 }
 
-/* Seeds in which two runs of a task overlapped. */
+/* Returns the number of seeds in which two runs of a task overlapped. */
 static uint32_t
 count_overlaps(bool (*play)(uint64_t seed, int64_t silent_us), uint32_t seeds,
                int64_t silent_us)
@@ -75,7 +76,7 @@
 }
 
 static bool
-end_with_overlap(struct vlease *v)
+finish_and_check_overlap(struct vlease *v)
 {
     struct vlease_faults f;
 
@@ -90,53 +91,55 @@
 play_stopped_start(uint64_t seed, int64_t silent_us)
 {
     struct vlease *v = long_jobs(seed, 2, silent_us);
-    struct late_start l = {.upstream = VLEASE_NOBODY};
+    struct late_start late = {.upstream = VLEASE_NOBODY};
 
-    vlease_set_hook(v, delay_first_start, &l);
+    vlease_set_hook(v, delay_first_start, &late);
     (void)vlease_submit(v, 0, 0);
     vlease_run(v, READY_US + 20 * MSEC);
     (void)vlease_submit(v, 0, 1);
     vlease_run(v, READY_US + 2950 * MSEC);
-    vlease_reborn(v, l.upstream);
-    return end_with_overlap(v);
+    vlease_reborn(v, late.upstream);
+    return finish_and_check_overlap(v);
 }
 
-/* A start gets no answer; its stop is confirmed and the task is placed
- * elsewhere.  The upstream starts anew, forgets the stop, and the start
- * arrives before it announces itself. */
+/* Guards against two runs of a task at one time.  A start gets no answer, its
+ * stop is confirmed, and the task is placed elsewhere.  The upstream restarts
+ * without knowledge of the stop, and the start arrives before the upstream
+ * announces itself. */
 static void
-late_start_after_its_stop_meets_a_new_life(void)
+late_start_after_stop_reaches_new_incarnation(void)
 {
     CU_ASSERT_EQUAL(count_overlaps(play_stopped_start, SEEDS, HEARTBEAT_US),
                     0);
 }
 
 static bool
-play_mute(uint64_t seed, int64_t silent_us)
+play_unresponsive(uint64_t seed, int64_t silent_us)
 {
     struct vlease *v = long_jobs(seed, 2, silent_us);
-    struct late_start l = {.upstream = VLEASE_NOBODY};
+    struct late_start late = {.upstream = VLEASE_NOBODY};
 
-    vlease_set_hook(v, delay_first_start, &l);
+    vlease_set_hook(v, delay_first_start, &late);
     (void)vlease_submit(v, 0, 0);
     vlease_run(v, READY_US + 5 * MSEC);
-    vlease_trouble(v, l.upstream, VLEASE_MUTE);
+    vlease_trouble(v, late.upstream, VLEASE_MUTE);
     vlease_run(v, READY_US + 2990 * MSEC);
-    vlease_reborn(v, l.upstream);
-    return end_with_overlap(v);
+    vlease_reborn(v, late.upstream);
+    return finish_and_check_overlap(v);
 }
 
-/* An upstream falls silent while a start to it is not answered; the lease
- * passes and the task is placed elsewhere.  The upstream starts anew and the
- * start arrives before a look of the holder. */
+/* Guards against two runs of a task at one time.  An upstream becomes
+ * unresponsive while a start is unanswered; the lease expires and the task is
+ * placed elsewhere.  The upstream restarts, and the start arrives before a
+ * poll of the holder. */
 static void
-late_start_meets_a_new_life_of_a_silent_upstream(void)
+late_start_reaches_new_incarnation_of_silent_upstream(void)
 {
-    CU_ASSERT_EQUAL(count_overlaps(play_mute, SEEDS, HEARTBEAT_US), 0);
+    CU_ASSERT_EQUAL(count_overlaps(play_unresponsive, SEEDS, HEARTBEAT_US), 0);
 }
 
-/* A third of the upstreams loses a tenth of its calls, which are carried out 3
- * s later, dies then and starts anew. */
+/* A third of the upstreams lose the answers of a tenth of their calls, which
+ * are carried out 3 s later; then these upstreams are killed and restarted. */
 static bool
 play_load(uint64_t seed, int64_t silent_us, double per_s)
 {
@@ -166,7 +169,7 @@
     }
     vlease_run(v, READY_US + 8 * SEC);
     vlease_load(v, 0);
-    return end_with_overlap(v);
+    return finish_and_check_overlap(v);
 }
 
 static bool
@@ -181,127 +184,135 @@
     return play_load(seed, silent_us, 3);
 }
 
-/* The same among other work, by seed: late starts reach a new life before the
- * look of a holder that found the old one silent. */
+/* The same under load: late starts reach a new incarnation before a poll of
+ * the holder, which found the earlier incarnation unresponsive. */
 static void
-late_starts_meet_new_lives(void)
+late_starts_reach_new_incarnations(void)
 {
     CU_ASSERT_EQUAL(count_overlaps(play_many_jobs, LOAD_SEEDS, HEARTBEAT_US),
                     0);
 }
 
 static void
-late_starts_meet_new_lives_among_few_jobs(void)
+late_starts_reach_new_incarnations_with_few_jobs(void)
 {
     CU_ASSERT_EQUAL(count_overlaps(play_few_jobs, LOAD_SEEDS, HEARTBEAT_US),
                     0);
 }
 
-/* The only broker, or one of two, is killed while its first start is not
- * answered; its job is handed in again and goes to another upstream. */
+/* The only broker, or one of two, is killed while its first start is
+ * unanswered; the tests then submit its job again, which is placed on another
+ * upstream. */
 static struct vlease *
 lose_runner(uint64_t seed, uint32_t brokers, int64_t silent_us,
-            struct late_start *l)
+            struct late_start *late)
 {
     struct vlease *v = long_jobs(seed, brokers, silent_us);
 
-    l->upstream = VLEASE_NOBODY;
-    vlease_set_hook(v, delay_first_start, l);
+    late->upstream = VLEASE_NOBODY;
+    vlease_set_hook(v, delay_first_start, late);
     (void)vlease_submit(v, 0, 0);
     vlease_run(v, READY_US + 100 * MSEC);
-    vlease_kill(v, l->runner);
+    vlease_kill(v, late->runner);
     return v;
 }
 
 static bool
 play_changed_holder(uint64_t seed, int64_t silent_us)
 {
-    struct late_start l;
-    struct vlease *v = lose_runner(seed, 2, silent_us, &l);
+    struct late_start late;
+    struct vlease *v = lose_runner(seed, 2, silent_us, &late);
 
     vlease_run(v, READY_US + 900 * MSEC);
-    (void)vlease_submit(v, 1 - l.runner, 1);
+    (void)vlease_submit(v, 1 - late.runner, 1);
     vlease_run(v, READY_US + 2900 * MSEC);
-    vlease_reborn(v, l.upstream);
-    return end_with_overlap(v);
+    vlease_reborn(v, late.upstream);
+    return finish_and_check_overlap(v);
 }
 
-/* The holder of the old life is gone, another has taken the upstream, and the
- * new life announces itself before the late start arrives: it has to meet a
- * higher fence. */
+/* Guards against two runs of a task at one time.  The holder is lost, another
+ * broker has taken the upstream, and the upstream restarts and announces
+ * itself before the late start arrives.  A higher fence must refuse that
+ * start. */
 static void
-late_start_of_a_lost_holder_meets_a_higher_fence(void)
+late_start_of_lost_holder_meets_higher_fence(void)
 {
     CU_ASSERT_EQUAL(count_overlaps(play_changed_holder, SEEDS, MSEC), 0);
 }
 
-/* The same with a new life that announces itself after the late start. */
+/* The same, where the upstream announces itself after the late start. */
 static void
-late_start_of_a_lost_holder_meets_a_new_life(void)
+late_start_of_lost_holder_reaches_new_incarnation(void)
 {
     CU_ASSERT_EQUAL(count_overlaps(play_changed_holder, SEEDS, HEARTBEAT_US),
                     0);
 }
 
-/* The clock of its machine is set back by so much while the broker is down. */
+/* While the broker is down, its machine's clock is set back by @back_us, and
+ * the upstream restarts if @new_incarnation. */
 static bool
-play_restart(uint64_t seed, int64_t back_us, bool reborn)
+play_restart(uint64_t seed, int64_t back_us, bool new_incarnation)
 {
-    struct late_start l;
-    struct vlease *v = lose_runner(seed, 1, MSEC, &l);
+    struct late_start late;
+    struct vlease *v = lose_runner(seed, 1, MSEC, &late);
 
     vlease_clock(v, 0, -back_us);
-    if (reborn) {
-        vlease_reborn(v, l.upstream);
+    if (new_incarnation) {
+        vlease_reborn(v, late.upstream);
     }
     vlease_run(v, READY_US + 150 * MSEC);
     vlease_start(v, 0);
     vlease_run(v, READY_US + 900 * MSEC);
     (void)vlease_submit(v, 0, 1);
-    return end_with_overlap(v);
+    return finish_and_check_overlap(v);
 }
 
 static bool
-play_restart_same_life(uint64_t seed, int64_t back_us)
+play_restart_same_incarnation(uint64_t seed, int64_t back_us)
 {
     return play_restart(seed, back_us, false);
 }
 
 static bool
-play_restart_new_life(uint64_t seed, int64_t back_us)
+play_restart_new_incarnation(uint64_t seed, int64_t back_us)
 {
     return play_restart(seed, back_us, true);
 }
 
-/* A holder starts again with an empty memory while a start of before is not
- * answered; its clock may have been set back. */
+/* Guards against two runs of a task at one time.  A holder is restarted, and
+ * knows nothing of a start that is still unanswered; its clock may have been
+ * set back.  A higher fence must refuse that start. */
 static void
-late_start_of_before_a_restart_meets_a_higher_fence(void)
+late_start_from_before_restart_meets_higher_fence(void)
 {
-    CU_ASSERT_EQUAL(count_overlaps(play_restart_same_life, SEEDS, 0), 0);
-    CU_ASSERT_EQUAL(count_overlaps(play_restart_same_life, SEEDS, 8 * SEC), 0);
-    CU_ASSERT_EQUAL(count_overlaps(play_restart_new_life, SEEDS, 0), 0);
+    CU_ASSERT_EQUAL(count_overlaps(play_restart_same_incarnation, SEEDS, 0),
+                    0);
+    CU_ASSERT_EQUAL(
+        count_overlaps(play_restart_same_incarnation, SEEDS, 8 * SEC), 0);
+    CU_ASSERT_EQUAL(count_overlaps(play_restart_new_incarnation, SEEDS, 0), 0);
 }
 
-/* The upstream starts anew too and refuses no fence, so a holder whose clock
- * was set back takes it under a lower one than that of the late start. */
+/* The same, where the upstream restarts too and thus refuses no fence.  The
+ * holder, whose clock was set back, takes it under a lower fence than that of
+ * the late start. */
 static void
-late_start_of_before_a_clock_was_set_back(void)
+late_start_from_before_clock_set_back(void)
 {
-    CU_ASSERT_EQUAL(count_overlaps(play_restart_new_life, SEEDS, 8 * SEC), 0);
+    CU_ASSERT_EQUAL(
+        count_overlaps(play_restart_new_incarnation, SEEDS, 8 * SEC), 0);
 }
 
 void
 suite_reborn(void)
 {
 #define TEST(name) check_add("reborn", #name, name)
-    TEST(late_start_after_its_stop_meets_a_new_life);
-    TEST(late_start_meets_a_new_life_of_a_silent_upstream);
-    TEST(late_starts_meet_new_lives);
-    TEST(late_starts_meet_new_lives_among_few_jobs);
-    TEST(late_start_of_a_lost_holder_meets_a_higher_fence);
-    TEST(late_start_of_a_lost_holder_meets_a_new_life);
-    TEST(late_start_of_before_a_restart_meets_a_higher_fence);
-    TEST(late_start_of_before_a_clock_was_set_back);
+    TEST(late_start_after_stop_reaches_new_incarnation);
+    TEST(late_start_reaches_new_incarnation_of_silent_upstream);
+    TEST(late_starts_reach_new_incarnations);
+    TEST(late_starts_reach_new_incarnations_with_few_jobs);
+    TEST(late_start_of_lost_holder_meets_higher_fence);
+    TEST(late_start_of_lost_holder_reaches_new_incarnation);
+    TEST(late_start_from_before_restart_meets_higher_fence);
+    TEST(late_start_from_before_clock_set_back);
 #undef TEST
 }
--- a/tests/registry_test.c
+++ b/tests/registry_test.c
@@ -1,4 +1,4 @@
-/* What a registry tells brokers of upstreams and of each other. */
+/* Reports and rosters that a registry sends to brokers. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -17,11 +17,11 @@
     UPSTREAMS = ZONES * UPSTREAMS_EACH,
 };
 
-/* What was sent to one broker. */
-struct told {
+/* Messages sent to one broker, and the number of items in them. */
+struct delivered {
     size_t messages;
     size_t upstreams;
-    size_t others; /* zone's own upstreams are not counted here */
+    size_t others; /* upstreams of other zones */
     size_t brokers;
 };
 
@@ -29,11 +29,11 @@
     struct registry *registry;
     struct control_effects fx;
     int64_t now_us;
-    struct told told[BROKERS];
+    struct delivered delivered[BROKERS];
 };
 
 static struct name
-numbered(const char *kind, size_t n)
+numbered_name(const char *kind, size_t n)
 {
     struct name name = {0};
 
@@ -44,7 +44,7 @@
 static struct name
 zone_of(size_t broker)
 {
-    return numbered("zone", broker % ZONES);
+    return numbered_name("zone", broker % ZONES);
 }
 
 static struct moment
@@ -57,7 +57,7 @@
 count(struct region *r, const struct ce_send *s)
 {
     size_t broker = strtoul(s->to.s + strlen("broker-"), NULL, 10);
-    struct told *t = &r->told[broker];
+    struct delivered *t = &r->delivered[broker];
     const struct rec_upstream_report *report = &s->msg.u.upstream_report;
 
     t->messages++;
@@ -93,8 +93,8 @@
     m.u.introduction.address = address_of("127.0.0.1:1");
     m.u.introduction.holds = holds ? 1 : 0;
     m.u.introduction.again = again ? 1 : 0;
-    CU_ASSERT_TRUE(registry_on_message(r->registry, numbered("broker", broker),
-                                       &m, at(r), &r->fx));
+    CU_ASSERT_TRUE(registry_on_message(
+        r->registry, numbered_name("broker", broker), &m, at(r), &r->fx));
     take_effects(r);
 }
 
@@ -103,9 +103,9 @@
 {
     struct rec_leased_upstream u = {.born_ms = 1, .sequence = sequence};
 
-    u.upstream = numbered("upstream", upstream);
+    u.upstream = numbered_name("upstream", upstream);
     u.service = name_of("service");
-    u.zone = numbered("zone", upstream % ZONES);
+    u.zone = numbered_name("zone", upstream % ZONES);
     u.address = address_of("127.0.0.1:2");
     u.slots = 8;
     (void)registry_announce(r->registry, &u, at(r));
@@ -124,9 +124,10 @@
     r->now_us = us;
 }
 
-/* All brokers come within 0.3 s of each other, as in a region that starts. */
+/* All brokers introduce themselves within 0.3 s, as in a region that starts.
+ */
 static struct region *
-started(size_t brokers)
+start_region(size_t brokers)
 {
     struct region *r = calloc(1, sizeof(*r));
 
@@ -145,9 +146,9 @@
 }
 
 static void
-forget_told(struct region *r)
+reset_delivered(struct region *r)
 {
-    memset(r->told, 0, sizeof(r->told));
+    memset(r->delivered, 0, sizeof(r->delivered));
 }
 
 static void
@@ -158,78 +159,79 @@
     free(r);
 }
 
-/* 270 brokers start together.  Were each told of all 270 whenever another one
- * comes, a registry would send 19 million rows in the first second and run out
- * of memory before the slowest reader has taken them; a user would find the
- * region without control. */
+/* Guards against a registry that runs out of memory when 270 brokers start at
+ * once.  If it sent each broker all 270 whenever a new one connects, it would
+ * queue 19 million rows in the first second, faster than the slowest reader
+ * takes them, and the region would be without control. */
 static void
 many_brokers_start_together(void)
 {
-    struct region *r = started(BROKERS);
+    struct region *r = start_region(BROKERS);
     size_t most = 0;
 
     for (size_t i = 0; i < BROKERS; i++) {
-        most = r->told[i].brokers > most ? r->told[i].brokers : most;
+        most = r->delivered[i].brokers > most ? r->delivered[i].brokers : most;
     }
-    /* Once all of its zone and the few of others, and once more those that
-     * came later, some of them twice. */
+    /* All of its zone and the few of other zones once, then again those that
+     * connected later, some of them twice. */
     CU_ASSERT_TRUE(most <= 3 * (BROKERS_EACH +
                                 (ZONES - 1) * (size_t)ROSTER_REMOTE_ZONE_MAX));
     region_free(r);
 }
 
-/* Every broker learns of all of its zone, by the first words of a registry or
- * soon after; two that never heard of each other would both hold an upstream.
- */
+/* Guards against two brokers of a zone that don't know each other, and would
+ * both hold an upstream: each is sent all brokers of its zone, at once or soon
+ * after. */
 static void
-all_of_a_zone_are_told_of(void)
+zone_gets_its_full_roster(void)
 {
-    struct region *r = started(BROKERS);
+    struct region *r = start_region(BROKERS);
     size_t last = BROKERS - 1;
 
-    CU_ASSERT_TRUE(r->told[0].brokers >= BROKERS_EACH);
-    CU_ASSERT_TRUE(r->told[last].brokers >= BROKERS_EACH);
+    CU_ASSERT_TRUE(r->delivered[0].brokers >= BROKERS_EACH);
+    CU_ASSERT_TRUE(r->delivered[last].brokers >= BROKERS_EACH);
     region_free(r);
 }
 
-/* A region with few brokers is connected in full. */
+/* A region with few brokers is fully connected. */
 static void
-small_region_is_told_of_all(void)
+small_region_gets_full_roster(void)
 {
-    struct region *r = started(9);
+    struct region *r = start_region(9);
 
     for (size_t i = 0; i < 9; i++) {
-        CU_ASSERT_TRUE(r->told[i].brokers >= 9);
+        CU_ASSERT_TRUE(r->delivered[i].brokers >= 9);
     }
     region_free(r);
 }
 
-/* Jobs that a zone has no room for go to brokers of other zones that hold
- * upstreams.  Those that began to hold after all were told must become known,
- * or such jobs are refused beside idle upstreams. */
+/* Guards against refused jobs while upstreams of other zones are idle.  Jobs
+ * that a zone has no capacity for go to brokers of other zones that hold
+ * upstreams, so a broker that begins to hold some must be sent to those zones.
+ */
 static void
-holders_of_other_zones_become_known(void)
+new_holders_are_sent_to_other_zones(void)
 {
-    struct region *r = started(BROKERS);
+    struct region *r = start_region(BROKERS);
     size_t heard = 0;
 
-    forget_told(r);
+    reset_delivered(r);
     introduce(r, 1, true, true); /* of zone 1 */
-    CU_ASSERT_EQUAL(r->told[1].messages, 0);
+    CU_ASSERT_EQUAL(r->delivered[1].messages, 0);
     run_until(r, 3 * SEC);
     for (size_t i = 0; i < BROKERS; i++) {
-        heard += i % ZONES != 1 && r->told[i].brokers == 1 ? 1 : 0;
+        heard += i % ZONES != 1 && r->delivered[i].brokers == 1 ? 1 : 0;
     }
     CU_ASSERT_EQUAL(heard, (ZONES - 1) * (size_t)BROKERS_EACH);
     region_free(r);
 }
 
-/* Where a zone has more holders than a broker of another zone is told of, the
- * others are spread over them: none is told to half of all brokers. */
+/* Where a zone has more holders than a broker of another zone is sent, each
+ * broker is sent different ones: no holder is sent to half of all brokers. */
 static void
-far_jobs_are_spread_over_holders(void)
+other_zones_are_spread_over_holders(void)
 {
-    struct region *r = started(BROKERS);
+    struct region *r = start_region(BROKERS);
     struct roster roster = {0};
     size_t times[BROKERS] = {0};
 
@@ -237,7 +239,7 @@
         struct rec_introduction one = {.zone = zone_of(i), .holds = i < 90};
 
         one.address = address_of("127.0.0.1:1");
-        (void)roster_update(&roster, numbered("broker", i), &one, SEC);
+        (void)roster_update(&roster, numbered_name("broker", i), &one, SEC);
     }
     for (const struct roster_broker *to = roster.brokers; to != NULL;
          to = to->next) {
@@ -265,55 +267,56 @@
     region_free(r);
 }
 
-/* 3,000 upstreams announce themselves.  A broker holds those of its own zone
- * only; told of all, it would keep three times as many and a registry send
- * three times as much. */
+/* 3,000 upstreams announce themselves.  A broker holds only those of its own
+ * zone; if it were sent all, it would store, and a registry would send, three
+ * times as many. */
 static void
-upstreams_are_told_in_their_zone(void)
+upstreams_are_reported_in_their_zone(void)
 {
-    struct region *r = started(BROKERS);
+    struct region *r = start_region(BROKERS);
 
-    forget_told(r);
+    reset_delivered(r);
     for (size_t i = 0; i < UPSTREAMS; i++) {
         announce(r, i, 1);
     }
     run_until(r, r->now_us + 100 * USEC_PER_MSEC);
     for (size_t i = 0; i < BROKERS; i++) {
-        CU_ASSERT_EQUAL(r->told[i].upstreams, UPSTREAMS_EACH);
-        CU_ASSERT_EQUAL(r->told[i].messages, 1);
-        CU_ASSERT_EQUAL(r->told[i].others, 0);
+        CU_ASSERT_EQUAL(r->delivered[i].upstreams, UPSTREAMS_EACH);
+        CU_ASSERT_EQUAL(r->delivered[i].messages, 1);
+        CU_ASSERT_EQUAL(r->delivered[i].others, 0);
     }
-    forget_told(r);
+    reset_delivered(r);
     r->now_us += SEC;
     announce(r, 0, 2);
     run_until(r, r->now_us + 100 * USEC_PER_MSEC);
-    CU_ASSERT_EQUAL(r->told[0].upstreams, 0);
+    CU_ASSERT_EQUAL(r->delivered[0].upstreams, 0);
     run_until(r, 25 * SEC);
-    CU_ASSERT_EQUAL(r->told[1].others, 0);
+    CU_ASSERT_EQUAL(r->delivered[1].others, 0);
     region_free(r);
 }
 
-/* A registry starts after a power loss and its disk remembers an upstream,
- * which never speaks again, and another, which starts anew.  Brokers are told
- * of both at once; one that stayed for ever would be called for ever. */
+/* Guards against saved upstreams that are never removed, and polled for ever.
+ * A registry restarts after a power loss.  Of the two upstreams on its disk,
+ * both reported to brokers at once, one never announces itself again, and the
+ * other has restarted. */
 static void
-remembered_upstreams_are_told_until_silent(void)
+saved_upstreams_are_reported_until_silent(void)
 {
-    struct region *r = started(1);
+    struct region *r = start_region(1);
     struct rec_leased_upstream kept[2] = {{.born_ms = 1, .sequence = 40},
                                           {.born_ms = 1, .sequence = 40}};
     struct rec_upstream_report report = {kept, 2};
     struct rec_leased_upstream again = {.born_ms = 2, .sequence = 1};
 
     for (size_t i = 0; i < 2; i++) {
-        kept[i].upstream = numbered("upstream", i);
+        kept[i].upstream = numbered_name("upstream", i);
         kept[i].zone = zone_of(0);
     }
-    forget_told(r);
+    reset_delivered(r);
     registry_restore(r->registry, &report, at(r));
     introduce(r, 0, false, false);
-    CU_ASSERT_EQUAL(r->told[0].upstreams, 2);
-    again.upstream = numbered("upstream", 1);
+    CU_ASSERT_EQUAL(r->delivered[0].upstreams, 2);
+    again.upstream = numbered_name("upstream", 1);
     again.zone = zone_of(0);
     CU_ASSERT_EQUAL(registry_announce(r->registry, &again, at(r)),
                     REGISTRY_CHANGED);
@@ -326,7 +329,7 @@
 }
 
 static size_t
-kept_on_disk(const struct control_effects *fx)
+saved_upstreams(const struct control_effects *fx)
 {
     size_t n = SIZE_MAX;
 
@@ -338,13 +341,13 @@
     return n;
 }
 
-/* Upstreams that leave are not remembered: brokers that start would give them
- * work until they say once more that they leave.  A hundred changes make one
- * write, for publications wait behind it. */
+/* Guards against saving upstreams that are leaving: after a restart, brokers
+ * would give them tasks until their next announcement.  A hundred changes make
+ * one write, since publications wait behind it. */
 static void
-leaving_upstreams_are_not_remembered(void)
+leaving_upstreams_are_not_saved(void)
 {
-    struct region *r = started(1);
+    struct region *r = start_region(1);
     struct rec_leased_upstream leaving = {
         .born_ms = 1, .sequence = 2, .leaving = 1};
     struct moment due;
@@ -352,33 +355,34 @@
     for (size_t i = 0; i < 100; i++) {
         announce(r, i, 1);
     }
-    leaving.upstream = numbered("upstream", 3);
+    leaving.upstream = numbered_name("upstream", 3);
     leaving.zone = zone_of(0);
     (void)registry_announce(r->registry, &leaving, at(r));
     due = at(r);
     due.mono_us += SEC;
     registry_tick(r->registry, due, &r->fx);
-    CU_ASSERT_EQUAL(kept_on_disk(&r->fx), 99);
+    CU_ASSERT_EQUAL(saved_upstreams(&r->fx), 99);
     control_effects_clear(&r->fx);
     due.mono_us += SEC;
     registry_tick(r->registry, due, &r->fx);
-    CU_ASSERT_EQUAL(kept_on_disk(&r->fx), SIZE_MAX);
+    CU_ASSERT_EQUAL(saved_upstreams(&r->fx), SIZE_MAX);
     region_free(r);
 }
 
-/* A connection was lost and is there again, which this registry may not have
- * noticed; what was under way on it is gone, so everything is told anew. */
+/* A broker reconnects after a lost connection, which the registry may not have
+ * noticed.  Messages on the old connection are lost, so everything is sent
+ * again. */
 static void
-first_words_are_answered_in_full(void)
+introduction_is_answered_in_full(void)
 {
-    struct region *r = started(9);
+    struct region *r = start_region(9);
 
     announce(r, 0, 1);
     run_until(r, r->now_us + 100 * USEC_PER_MSEC);
-    forget_told(r);
+    reset_delivered(r);
     introduce(r, 0, false, false);
-    CU_ASSERT_EQUAL(r->told[0].upstreams, 1);
-    CU_ASSERT_EQUAL(r->told[0].brokers, 9);
+    CU_ASSERT_EQUAL(r->delivered[0].upstreams, 1);
+    CU_ASSERT_EQUAL(r->delivered[0].brokers, 9);
     region_free(r);
 }
 
@@ -387,13 +391,13 @@
 {
 #define TEST(name) check_add("registry", #name, name)
     TEST(many_brokers_start_together);
-    TEST(all_of_a_zone_are_told_of);
-    TEST(small_region_is_told_of_all);
-    TEST(holders_of_other_zones_become_known);
-    TEST(far_jobs_are_spread_over_holders);
-    TEST(upstreams_are_told_in_their_zone);
-    TEST(remembered_upstreams_are_told_until_silent);
-    TEST(leaving_upstreams_are_not_remembered);
-    TEST(first_words_are_answered_in_full);
+    TEST(zone_gets_its_full_roster);
+    TEST(small_region_gets_full_roster);
+    TEST(new_holders_are_sent_to_other_zones);
+    TEST(other_zones_are_spread_over_holders);
+    TEST(upstreams_are_reported_in_their_zone);
+    TEST(saved_upstreams_are_reported_until_silent);
+    TEST(leaving_upstreams_are_not_saved);
+    TEST(introduction_is_answered_in_full);
 #undef TEST
 }
