--- a/src/broker_renew.c
+++ b/src/broker_renew.c
@@ -158,12 +158,12 @@
 int64_t
 renew_confirmed_us(const struct broker *b, const struct run_job *job)
 {
-    bool here = !job->closed && name_equal(job->taker, b->opts.self);
+    bool taken_here = !job->closed && name_equal(job->taker, b->opts.self);
 
     if (b->opts.breaks[BROKER_BREAK_UNCONFIRMED]) {
         return b->now.mono_us;
     }
-    return here ? b->callers_known_us : job->renewed_us;
+    return taken_here ? b->callers_known_us : job->renewed_us;
 }
 
 void
--- a/src/broker_state.h
+++ b/src/broker_state.h
@@ -555,9 +555,16 @@
 /** peers_on_connection() - the connection to a process was established (@up)
  * or lost */
 void peers_on_connection(struct broker *b, struct name name, bool up);
+
+/** peers_on_introduction() - takes the introduction of another broker */
 void peers_on_introduction(struct broker *b, struct name from,
                            const struct rec_introduction *i);
+
+/** peers_on_roster() - connects to the brokers and registries of a roster */
 void peers_on_roster(struct broker *b, const struct rec_roster *r);
+
+/** peers_on_load() - takes the load of a broker, which also requests a renewal
+ * of its jobs */
 void peers_on_load(struct broker *b, struct name from,
                    const struct rec_broker_load *l);
 
@@ -567,6 +574,8 @@
 
 /** peers_tick() - sends the load and forgets lost processes when due */
 void peers_tick(struct broker *b);
+
+/** peers_next_us() - when peers_tick() is due */
 int64_t peers_next_us(const struct broker *b);
 
 /* broker_config.c */
@@ -877,7 +886,12 @@
 
 /** hold_has_any() - whether this broker holds any upstream */
 bool hold_has_any(const struct broker *b);
+
+/** hold_tick() - sends polls that are due, handles expired leases and removes
+ * lost upstreams */
 void hold_tick(struct broker *b);
+
+/** hold_next_us() - when hold_tick() is due; INT64_MAX for never */
 int64_t hold_next_us(const struct broker *b);
 
 /** hold_on_fenced() - the upstream has refused a call for a higher fence */
