--- a/src/borrow.c
+++ b/src/borrow.c
@@ -11,8 +11,9 @@
 #define REPLY_TIMEOUT_US (300 * USEC_PER_MSEC)
 #define REQUEST_TTL_US (1 * USEC_PER_SEC)      /* of a queued request */
 #define GRANT_INTERVAL_US (60 * USEC_PER_MSEC) /* for queued requests */
-/* Least queueing time for which slots are requested, and the same for holders
- * that report no free slots. */
+/* Slots are requested if the tasks would otherwise be queued for at least the
+ * first of these, and from holders without free slots only if for more than
+ * the second. */
 #define REQUEST_MIN_WAIT_US (60 * USEC_PER_MSEC)
 #define QUEUED_MIN_WAIT_US (250 * USEC_PER_MSEC)
 /* A remote job must rank this much before the first local one to go first. */
@@ -504,8 +505,10 @@
     }
 }
 
+/** expire_queued_requests() - removes the expired requests of other instances
+ */
 static void
-expire_requests(const struct entry *e, struct borrowing *b)
+expire_queued_requests(const struct entry *e, struct borrowing *b)
 {
     for (size_t i = b->n_requests; i > 0; i--) {
         if (b->requests[i - 1].expires_us <= e->now.mono_us) {
@@ -567,7 +570,7 @@
         return;
     }
     b->next_grant_us = e->now.mono_us + scaled_pause(e, GRANT_INTERVAL_US);
-    expire_requests(e, b);
+    expire_queued_requests(e, b);
     while (n-- > 0 && s->pool.own_free_slots > 0) {
         struct queued_request *w = first_request(b);
 
@@ -587,7 +590,7 @@
     if (b == NULL || b->n_requests == 0 || s->pool.own_free_slots == 0) {
         return false;
     }
-    expire_requests(e, b);
+    expire_queued_requests(e, b);
     w = first_request(b);
     if (w == NULL || w->first == 0 || !w->same_zone ||
         w->rank_us + RANK_MARGIN_US > rank_us) {
--- a/src/broker.c
+++ b/src/broker.c
@@ -226,7 +226,7 @@
 /* After a pause of the process or its machine, other brokers may have taken
  * over its upstreams, and its callers' jobs may run elsewhere.  So everything
  * that relies on a lease is given up before any message is sent.  The clock
- * must be one that does not stop with the machine, see clock.h. */
+ * must be one that goes on while the machine is suspended, see clock.h. */
 static void
 check_pause(struct broker *b)
 {
@@ -295,7 +295,7 @@
  * before stop_accept_us, since the platform may still route callers here, and
  * at stop_timeout_us at the latest. */
 static void
-report_stopped(struct broker *b)
+report_if_stopped(struct broker *b)
 {
     int64_t since = b->now.mono_us - b->stop_begun_us;
     bool idle =
@@ -347,7 +347,7 @@
     run_tick(b);
     deliver_local_msgs(b);
     hold_notify_zone(b);
-    report_stopped(b);
+    report_if_stopped(b);
     b->fx = NULL;
 }
 
--- a/src/broker_answer.c
+++ b/src/broker_answer.c
@@ -148,8 +148,8 @@
 }
 
 static void
-process_ends(struct broker *b, struct broker_upstream *u,
-             const struct lease_answer *a)
+handle_ended_runs(struct broker *b, struct broker_upstream *u,
+                  const struct lease_answer *a)
 {
     for (size_t i = 0; i < a->n_ended; i++) {
         if (a->ended[i].number <= u->last_end) {
@@ -220,10 +220,11 @@
     }
 }
 
-/* Returns whether there are unknown runs, after sending stops for them. */
+/* Updates the tasks whose runs the answer lists as running, and sends stops
+ * for unknown runs; returns whether there are any of these. */
 static bool
-process_running(struct broker *b, struct broker_upstream *u,
-                const struct lease_answer *a)
+handle_listed_runs(struct broker *b, struct broker_upstream *u,
+                   const struct lease_answer *a)
 {
     bool found_unknown = false;
 
@@ -281,7 +282,7 @@
         bool late;
 
         if (i > u->n_tasks) {
-            continue; /* the last one may have removed its whole job */
+            continue; /* resolving a task may have removed its whole job */
         }
         t = run_find_task(b, &u->tasks[i - 1], &job);
         if (is_listed_running(a, lease_task_ref(job, t))) {
@@ -327,7 +328,7 @@
     if (a->result != LEASE_OK || u->state != HOLD_OPEN) {
         return;
     }
-    process_ends(b, u, a);
+    handle_ended_runs(b, u, a);
     resolve_unlisted(b, u, a, sent_us);
     resend_stops(b, u);
 }
@@ -342,13 +343,13 @@
         hold_on_poll_failure(b, u);
         return;
     }
-    process_ends(b, u, a);
+    handle_ended_runs(b, u, a);
     if (stale) {
         /* A quick poll answered meanwhile had a newer list of runs. */
         hold_on_poll_answer(b, u, u->unknown_runs);
         return;
     }
-    found_unknown = process_running(b, u, a);
+    found_unknown = handle_listed_runs(b, u, a);
     if (u->state != HOLD_TAKING) {
         resolve_unlisted(b, u, a, sent_us);
         resend_stops(b, u);
@@ -439,7 +440,7 @@
         u->quick_poll_due = true;
     }
     else if (t->state == RUN_STOPPING && result == LEASE_NO_ANSWER) {
-        /* Its answer resends the stop if necessary. */
+        /* The answer to the quick poll resends the stop if necessary. */
         u->quick_poll_due = true;
     }
 }
@@ -488,11 +489,11 @@
     }
 }
 
-/* Whether the answer is of another incarnation than the known one; takes over
- * a newer one. */
+/* Returns whether the answer is of another incarnation of the upstream than
+ * the known one; a newer one is recorded as a restart. */
 static bool
-is_other_incarnation(struct broker *b, struct broker_upstream *u,
-                     const struct lease_answer *a)
+handle_other_incarnation(struct broker *b, struct broker_upstream *u,
+                         const struct lease_answer *a)
 {
     if (a->born_ms == 0 || a->born_ms == u->born_ms) {
         return false;
@@ -555,7 +556,7 @@
         }
         return;
     }
-    if (is_other_incarnation(b, u, a)) {
+    if (handle_other_incarnation(b, u, a)) {
         return;
     }
     if (a->result == LEASE_FENCED && u->state != HOLD_NONE &&
--- a/src/broker_caller.c
+++ b/src/broker_caller.c
@@ -16,8 +16,8 @@
 /* Assumed wait at a runner that is full and releases no capacity; long, so
  * that any other runner is preferred. */
 #define STALLED_RUNNER_US (10 * USEC_PER_SEC)
-/* Retry advice when there is no runner: about the time in which brokers take
- * over the upstreams of a lost one. */
+/* Retry advice when there is no runner: about the time in which other brokers
+ * take over the upstreams of a lost broker. */
 #define NO_RUNNER_RETRY_US (1 * USEC_PER_SEC)
 /* A job accepted late in a stop may take three times its declared run time,
  * and some time to be placed and answered. */
--- a/src/broker_config.c
+++ b/src/broker_config.c
@@ -135,8 +135,8 @@
     b->fetch.timeout_us *= FETCH_TIMEOUT_GROWTH;
 }
 
-/* No newer version is known; an answer that is still outstanding is not waited
- * for. */
+/* Called while no registry reports a newer version: a reply that is still
+ * outstanding does not delay the next fetch. */
 static void
 reset_fetch(struct config_fetch *f)
 {
--- a/src/broker_place.c
+++ b/src/broker_place.c
@@ -1,7 +1,7 @@
 /*
  * Placement: a task goes to the upstream where it is expected to end first;
  * among equals to the one with the least capacity left (best fit), so that
- * other upstreams keep room for large tasks.
+ * other upstreams keep free capacity for large tasks.
  */
 #include "broker_state.h"
 
@@ -106,9 +106,11 @@
            renew_allows_start(b, job, u);
 }
 
+/* Whether an upstream with expected run time @us and @left_milli milli-cores
+ * left after the start is better than the best one so far. */
 static bool
-is_better(int64_t us, uint32_t left_milli, int64_t best_us,
-          uint32_t best_left_milli)
+is_better_upstream(int64_t us, uint32_t left_milli, int64_t best_us,
+                   uint32_t best_left_milli)
 {
     if ((double)us < (double)best_us * (1.0 - RUN_TIME_TOLERANCE)) {
         return true;
@@ -178,7 +180,7 @@
                 ? 0
                 : free_resources(u).cpu_milli - (uint32_t)g->cpu_milli;
         if (best == NULL ||
-            is_better(us, left_milli, best_us, best_left_milli)) {
+            is_better_upstream(us, left_milli, best_us, best_left_milli)) {
             best = u;
             best_us = us;
             best_left_milli = left_milli;
--- a/src/broker_run.c
+++ b/src/broker_run.c
@@ -170,6 +170,8 @@
               reason, 0);
 }
 
+/* Closes a job that its taker dropped, or whose taker is lost, without sending
+ * an outcome. */
 static void
 drop_job(struct broker *b, struct run_job *job, enum broker_reason reason)
 {
@@ -596,7 +598,8 @@
         }
         u = place_choose(b, job, t);
         if (u == NULL && !name_empty(t->avoid_upstream)) {
-            /* Rather the upstream where it failed than none. */
+            /* No other upstream can take the task: allow the one that it
+             * avoids. */
             t->avoid_upstream = name_of("");
             u = place_choose(b, job, t);
         }
--- a/src/broker_share.c
+++ b/src/broker_share.c
@@ -19,8 +19,9 @@
  * the longest jobs. */
 #define CREDIT_WINDOW_US (500 * USEC_PER_MSEC)
 
-/* Part of its spare time that a job beyond its queue's share may always wait;
- * a higher value lets it overtake jobs within their queue's share. */
+/* Part of its spare time (the time left until its latest start) that a job
+ * beyond its queue's share may always wait.  With a higher value such jobs
+ * would overtake jobs within their queue's share. */
 static const double WAIT_FACTOR_MIN = 0.1;
 /* Excess of demand over the capacity from which only WAIT_FACTOR_MIN is
  * allowed; a smaller excess allows more, since a cluster of long jobs is not
--- a/src/handover.c
+++ b/src/handover.c
@@ -161,10 +161,12 @@
                                             : 0;
 }
 
-/* After a successor failed, all answers are sent again to the next one.
- * HANDOVER_TIMEOUT_US limits the time for all successors together. */
+/* Announces @m as successor and sends the first batch to it; without one, the
+ * handover ends.  After a successor failed, all answers are sent again to the
+ * next one.  HANDOVER_TIMEOUT_US limits the time for all successors together.
+ */
 static void
-start_with(struct entry *e, const struct member *m)
+start_sending_to(struct entry *e, const struct member *m)
 {
     struct handover *h = e->handover;
 
@@ -197,7 +199,7 @@
         h->phase = HANDOVER_FINISHED;
         return;
     }
-    start_with(e, choose_successor(e));
+    start_sending_to(e, choose_successor(e));
 }
 
 static void
@@ -211,7 +213,7 @@
     }
     else if (!m->up || m->stopping ||
              m->incarnation != h->successor_incarnation) {
-        start_with(e, choose_successor(e));
+        start_sending_to(e, choose_successor(e));
     }
     else if (e->now.mono_us >= h->resend_us) {
         if (!send_batch(e)) {
@@ -257,7 +259,7 @@
     }
     if (m->refused != 0) {
         members_by_name(e, from)->stopping = true;
-        start_with(e, choose_successor(e));
+        start_sending_to(e, choose_successor(e));
         return;
     }
     h->acknowledged += h->in_flight;
--- a/src/health.c
+++ b/src/health.c
@@ -180,7 +180,8 @@
         return;
     }
     if (u->info.quarantined) {
-        /* Tasks sent before the quarantine may still fail: not probes. */
+        /* Before a probe is due, the failed task is one that was sent before
+         * the quarantine began; it does not lengthen the backoff. */
         if (h->probe_us <= e->now.mono_us) {
             probe_failed(e, u);
         }
--- a/src/lend.c
+++ b/src/lend.c
@@ -32,7 +32,7 @@
 /** struct recall_candidate - a borrower, as a candidate for recalls */
 struct recall_candidate {
     struct name borrower;
-    uint32_t slots;        /* see count_recallable() */
+    uint32_t slots;        /* see count_recallable_slots() */
     int64_t not_before_us; /* no recall to this borrower before that */
 };
 
@@ -86,10 +86,11 @@
     return &ls->candidates[ls->n_candidates++];
 }
 
-/** count_recallable() - counts, for each borrower, the slots lent so long ago
- * that their first task should have ended: these may be idle */
+/** count_recallable_slots() - sets the slots of each candidate: those lent to
+ * the borrower so long ago that their first task should have ended, so that
+ * they may be idle */
 static void
-count_recallable(struct entry *e, const struct service_state *s)
+count_recallable_slots(struct entry *e, const struct service_state *s)
 {
     struct lending *ls = e->dispatch->lending;
     int64_t before =
@@ -121,7 +122,7 @@
         return;
     }
     ls->next_recall_us = e->now.mono_us + scaled_pause(e, RECALL_INTERVAL_US);
-    count_recallable(e, s);
+    count_recallable_slots(e, s);
     for (size_t i = 0; i < ls->n_candidates; i++) {
         struct recall_candidate *d = &ls->candidates[i];
 
@@ -279,9 +280,11 @@
     end_loan(e, l);
 }
 
+/** record_outcomes() - records the outcomes of the borrower's tasks, reported
+ * with a return, in the health of the upstream */
 static void
-report_health(struct entry *e, struct upstream *u,
-              const struct rec_slot_back *b)
+record_outcomes(struct entry *e, struct upstream *u,
+                const struct rec_slot_back *b)
 {
     if (b->done > 0) {
         health_task_succeeded(e, u, 0);
@@ -306,7 +309,7 @@
     slots = b->slots < l->slots ? (uint32_t)b->slots : l->slots;
     if (u != NULL) {
         uncount_loan(u, l, slots);
-        report_health(e, u, b);
+        record_outcomes(e, u, b);
         if (b->done == 0 && b->failed == 0) {
             borrow_drop_request(e, u->service, from);
         }
--- a/src/lend.h
+++ b/src/lend.h
@@ -33,7 +33,9 @@
  * lost or that is being removed */
 void lend_void_upstream(struct entry *e, struct handle upstream);
 
-/** lend_member_down() - counts the slots lent to @member as foreign */
+/** lend_member_down() - @member is down: slots lent to it count as foreign
+ * from now on, that is, as busy until the upstream reports fewer running
+ * tasks */
 void lend_member_down(struct entry *e, struct name member);
 
 /** lend_tick() - expires grants that were not returned */
--- a/src/member.c
+++ b/src/member.c
@@ -13,7 +13,7 @@
 enum {
     RENEWED_MAX = 4096, /* renewals in a heartbeat */
     REMOTE_LOADS = 8,   /* loads in a heartbeat to another zone, on average */
-    REMOTE_BEATS_MAX = 8, /* at least every 8th of these carries the loads */
+    REMOTE_BEATS_MAX = 8, /* at least each 8th of these heartbeats has loads */
 };
 
 struct members {
@@ -365,8 +365,8 @@
     if (!up) {
         /* The connection of a process that died breaks, so the member times
          * out after one heartbeat interval, in which it may connect again.
-         * Otherwise the callers waiting for a lost claimer would have to wait
-         * for the whole member timeout. */
+         * Otherwise callers waiting here for jobs that the dead process had
+         * claimed would have to wait for the whole member timeout. */
         int64_t heard =
             e->now.mono_us - e->opts.member_timeout_us + e->opts.heartbeat_us;
 
@@ -432,8 +432,9 @@
 
 /* After a pause this instance cannot know which members failed meanwhile.  If
  * the time without heartbeats included the pause, all members would be down at
- * once: every wait would be answered as lost, and this instance would take
- * over every upstream of its zone.  So the timeout of every member starts
+ * once: callers that wait for jobs claimed by other members would be answered
+ * as if their claimers had failed, and this instance would take over every
+ * upstream of its zone.  So the timeout of every member starts
  * again, and the loads from before the pause are discarded. */
 void
 members_after_pause(struct entry *e)
--- a/src/slot.c
+++ b/src/slot.c
@@ -104,8 +104,9 @@
     pool_add(e, &s->pool, p);
 }
 
+/** find_or_add_returns() - finds or adds the batch of returns to @lender */
 static struct slot_returns *
-returns_to(struct slots *sl, struct name lender)
+find_or_add_returns(struct slots *sl, struct name lender)
 {
     for (size_t i = 0; i < sl->n_returns; i++) {
         if (name_equal(sl->returns[i].lender, lender)) {
@@ -119,7 +120,7 @@
 static void
 queue_return(struct entry *e, struct place *p, uint32_t slots)
 {
-    struct slot_returns *b = returns_to(e->slots, p->lender);
+    struct slot_returns *b = find_or_add_returns(e->slots, p->lender);
 
     b->items = array_grow(b->items, b->n, &b->capacity, sizeof(*b->items));
     b->items[b->n++] = (struct rec_slot_back){.grant = p->grant_id,
--- a/src/slot.h
+++ b/src/slot.h
@@ -23,8 +23,8 @@
 /** slots_get_place() - the place of a handle, or NULL if it was removed */
 struct place *slots_get_place(const struct entry *e, struct handle h);
 
-/** slots_add_own() - adds the place for an upstream that this instance may
- * start tasks on without a grant */
+/** slots_add_own() - adds a place (place.h) for an upstream on which this
+ * instance may start tasks without a grant of another one */
 void slots_add_own(struct entry *e, struct service_state *s,
                    struct upstream *u);
 
--- a/src/start.c
+++ b/src/start.c
@@ -41,11 +41,12 @@
     uint64_t incarnation;
     uint64_t epoch;
     struct resources need;
-    bool own; /* resources are counted in upstream->used */
-    int64_t declared_us;
-    int64_t expected_us;
+    bool own; /* at a place that is not borrowed, see place_is_own(): @need is
+               * counted in upstream->used */
+    int64_t declared_us; /* run time that the caller declared */
+    int64_t expected_us; /* run time estimated from earlier runs */
     int64_t sent_us;
-    int64_t deadline_us;
+    int64_t deadline_us;  /* of the job */
     uint64_t revoke_call; /* call of the revoke in flight; 0: none */
     int64_t revoke_us;    /* when to send a revoke; 0: none planned */
 };
@@ -54,7 +55,7 @@
 struct revoke_call {
     uint64_t call; /* first: key of revoke_by_call */
     struct handle self;
-    struct handle start;
+    struct handle start; /* the start that it revokes */
 };
 
 struct starts {
--- a/src/upstream.c
+++ b/src/upstream.c
@@ -27,7 +27,7 @@
     struct map by_name;
     struct notified notified[INSTANCES_MAX];
     size_t n_notified;
-    int64_t next_us; /* time of the earliest timer */
+    int64_t next_us; /* when upstreams_tick() is next due */
 };
 
 struct upstreams *
@@ -212,7 +212,8 @@
 }
 
 /** merge_info() - updates the record of an incarnation from an announcement or
- * another member's record; returns whether more than the time changed */
+ * another member's record; returns whether anything but the renewal time and
+ * the number of running tasks changed */
 static bool
 merge_info(struct entry *e, struct upstream *u,
            const struct rec_upstream_info *new)
