--- a/src/borrow.c
+++ b/src/borrow.c
@@ -161,7 +161,7 @@
 send_request(struct entry *e, struct service_state *s, struct lender *l,
              struct resources need, uint32_t count)
 {
-    const struct queued *q = queue_first(&s->queue);
+    const struct queue_entry *q = queue_first(&s->queue);
     struct msg m = {.kind = MSG_SLOT_REQUEST};
     struct rec_slot_request *r = &m.u.slot_request;
 
@@ -308,7 +308,7 @@
 static struct resources
 next_task_need(struct entry *e, const struct service_state *s)
 {
-    const struct queued *q = queue_first(&s->queue);
+    const struct queue_entry *q = queue_first(&s->queue);
     const struct job *job = jobs_by_handle(e, q->job);
 
     return job->tasks[q->tasks[q->n_tasks - 1]].need;
--- a/src/config_sync.c
+++ b/src/config_sync.c
@@ -105,7 +105,7 @@
                 .zone = m->zone,
                 .incarnation = m->incarnation,
                 .version = m->config_version,
-                .age_us = (uint64_t)(e->now.mono_us - m->heard_us),
+                .age_us = (uint64_t)(e->now.mono_us - m->last_seen_us),
             };
             e->config_sync->reported_sum += m->config_version;
         }
--- a/src/dispatch.c
+++ b/src/dispatch.c
@@ -191,7 +191,7 @@
 /* Queue accounting */
 
 static void
-update_rank(struct entry *e, struct service_state *s, struct queued *q)
+update_rank(struct entry *e, struct service_state *s, struct queue_entry *q)
 {
     int64_t work_us =
         estimate_sum_us(&s->run_estimate, q->n_tasks, q->declared_us);
@@ -200,7 +200,7 @@
 }
 
 static void
-count_queued(struct entry *e, struct job *job, struct queued *q, int n,
+count_queued(struct entry *e, struct job *job, struct queue_entry *q, int n,
              int64_t declared_us)
 {
     struct service_state *s = q->service;
@@ -218,7 +218,7 @@
 static void
 queue_task(struct entry *e, struct job *job, uint32_t index)
 {
-    struct queued *q = job->queue_entry;
+    struct queue_entry *q = job->queue_entry;
 
     job->tasks[index].phase = TASK_QUEUED;
     q->tasks[q->n_tasks] = (uint8_t)index;
@@ -230,17 +230,17 @@
 static uint32_t
 pop_task(struct entry *e, struct job *job)
 {
-    struct queued *q = job->queue_entry;
+    struct queue_entry *q = job->queue_entry;
     uint32_t index = q->tasks[q->n_tasks - 1];
 
     count_queued(e, job, q, -1, -job->tasks[index].run_us);
     return index;
 }
 
-static struct queued *
+static struct queue_entry *
 new_queue_entry(struct entry *e, struct job *job, struct service_state *s)
 {
-    struct queued *q = calloc(1, sizeof(*q) + job->n_tasks);
+    struct queue_entry *q = calloc(1, sizeof(*q) + job->n_tasks);
     int64_t declared_us = 0;
 
     if (q == NULL) {
@@ -264,7 +264,7 @@
 static void
 free_queue_entry(struct job *job)
 {
-    struct queued *q = job->queue_entry;
+    struct queue_entry *q = job->queue_entry;
 
     if (q != NULL) {
         queue_remove(&q->service->queue, q);
@@ -281,7 +281,7 @@
  * Insertion sort, since the tasks of a job usually have the same declared run
  * time. */
 static void
-sort_by_run_time(const struct job *job, struct queued *q)
+sort_by_run_time(const struct job *job, struct queue_entry *q)
 {
     for (uint32_t i = 1; i < q->n_tasks; i++) {
         uint8_t index = q->tasks[i];
@@ -300,7 +300,7 @@
 dispatch_enqueue(struct entry *e, struct job *job)
 {
     struct service_state *s = dispatch_ensure_service(e, job->service_name);
-    struct queued *q = new_queue_entry(e, job, s);
+    struct queue_entry *q = new_queue_entry(e, job, s);
 
     for (uint32_t i = job->n_tasks; i > 0; i--) {
         if (job->tasks[i - 1].phase == TASK_WAITING) {
@@ -316,7 +316,7 @@
 void
 dispatch_drop_job(struct entry *e, struct job *job)
 {
-    struct queued *q = job->queue_entry;
+    struct queue_entry *q = job->queue_entry;
 
     for (uint32_t i = 0; i < job->n_tasks; i++) {
         struct task *t = &job->tasks[i];
@@ -351,7 +351,7 @@
                  bool charged)
 {
     struct dispatch *d = e->dispatch;
-    struct queued *q = job->queue_entry;
+    struct queue_entry *q = job->queue_entry;
 
     queue_task(e, job, index);
     if (charged &&
@@ -386,7 +386,7 @@
 enum served { SERVED, NO_PLACE, NO_QUOTA };
 
 static void
-start_next_task(struct entry *e, struct job *job, struct queued *q,
+start_next_task(struct entry *e, struct job *job, struct queue_entry *q,
                 struct place *p)
 {
     uint32_t index = pop_task(e, job);
@@ -401,15 +401,15 @@
 
 /** serve_job() - starts as many queued tasks of a job as possible */
 static enum served
-serve_job(struct entry *e, struct service_state *s, struct queued *q)
+serve_job(struct entry *e, struct service_state *s, struct queue_entry *q)
 {
     struct job *job = jobs_by_handle(e, q->job);
 
     while (q->n_tasks > 0) {
         struct task *t = &job->tasks[q->tasks[q->n_tasks - 1]];
-        struct pick pick = {.need = t->need,
-                            .rack_bits = q->rack_bits,
-                            .idempotent = job->idempotent};
+        struct place_criteria pick = {.need = t->need,
+                                      .rack_bits = q->rack_bits,
+                                      .idempotent = job->idempotent};
         struct place *p;
 
         if (!quotas_allow_start(e, s)) {
@@ -431,10 +431,10 @@
 static enum served
 serve_queue(struct entry *e, struct service_state *s)
 {
-    struct queued *skipped[SKIPPED_MAX];
+    struct queue_entry *skipped[SKIPPED_MAX];
     size_t n_skipped = 0;
     enum served end = SERVED;
-    struct queued *q;
+    struct queue_entry *q;
 
     while (n_skipped < SKIPPED_MAX && (q = queue_first(&s->queue)) != NULL) {
         while (borrow_serve_ranked_before(e, s, q->rank_us)) {
@@ -551,7 +551,7 @@
         slots_close_place(e, u->place);
     }
     if (may_start(e, u) && u->place == NULL) {
-        slots_add_own(e, s, u);
+        slots_add_own_place(e, s, u);
     }
     slots_on_epoch_raised(e, u);
     slots_update_place(e, u);
--- a/src/dispatch_state.h
+++ b/src/dispatch_state.h
@@ -46,7 +46,7 @@
  * @pool: places where tasks may be started
  * @borrowing: state of borrow.c
  * @n_upstreams: number of upstreams of the service
- * @n_jobs: number of jobs that have a struct queued
+ * @n_jobs: number of jobs that have a struct queue_entry
  * @n_queued: number of queued tasks
  * @queued_by_class: queued tasks by work class of their job
  * @n_running: number of tasks started by this instance and in flight
--- a/src/entry.c
+++ b/src/entry.c
@@ -372,7 +372,7 @@
         jobs_submit(e, &ev->u.submit);
         break;
     case EV_JOB_GET:
-        jobs_get(e, &ev->u.query);
+        jobs_query(e, &ev->u.query);
         break;
     case EV_JOB_CANCEL:
         jobs_cancel(e, &ev->u.query);
--- a/src/job_caller.c
+++ b/src/job_caller.c
@@ -221,7 +221,7 @@
 }
 
 void
-jobs_get(struct entry *e, const struct ev_query *ev)
+jobs_query(struct entry *e, const struct ev_query *ev)
 {
     struct waiter w = {.request = ev->request};
     struct ef_problem p = {0};
--- a/src/jobs.h
+++ b/src/jobs.h
@@ -56,7 +56,7 @@
     uint32_t n_sent;   /* updated by start.c */
     uint32_t n_ended;
     int64_t work_left_us;      /* sum of run_us of unfinished tasks */
-    void *queue_entry;         /* of dispatch.c: struct queued */
+    void *queue_entry;         /* of dispatch.c: struct queue_entry */
     struct job_answer *answer; /* of an ended job */
     enum job_status status;
     enum reason reason;
@@ -89,7 +89,7 @@
 
 /* Handlers of EV_SUBMIT, EV_JOB_GET, EV_JOB_CANCEL, EV_CALLER_GONE, EV_MINT */
 void jobs_submit(struct entry *e, const struct ev_submit *ev);
-void jobs_get(struct entry *e, const struct ev_query *ev);
+void jobs_query(struct entry *e, const struct ev_query *ev);
 void jobs_cancel(struct entry *e, const struct ev_query *ev);
 void jobs_caller_gone(struct entry *e, uint64_t request);
 void jobs_mint_keys(struct entry *e, const struct ev_mint *ev);
--- a/src/lend.c
+++ b/src/lend.c
@@ -197,7 +197,7 @@
 static struct place *
 pick_lendable(struct entry *e, struct service_state *s, struct resources need)
 {
-    struct pick pick = {.need = need, .idempotent = true};
+    struct place_criteria pick = {.need = need, .idempotent = true};
 
     for (;;) {
         struct place *p = pool_pick(e, &s->pool, &pick);
--- a/src/member.c
+++ b/src/member.c
@@ -275,7 +275,7 @@
     m->n_loads = 0;
     entry_log(e, LOG_WARNING, reason, NULL, -1, m->name,
               "last heartbeat %lld ms ago",
-              (long long)((e->now.mono_us - m->heard_us) / USEC_PER_MSEC));
+              (long long)((e->now.mono_us - m->last_seen_us) / USEC_PER_MSEC));
     jobs_member_down(e, m->name);
     dispatch_member_down(e, m->name);
 }
@@ -296,7 +296,7 @@
     if (m->self || incarnation < m->incarnation) {
         return false;
     }
-    m->heard_us = e->now.mono_us;
+    m->last_seen_us = e->now.mono_us;
     if (incarnation > m->incarnation) {
         bool restarted = m->incarnation != 0;
 
@@ -370,7 +370,7 @@
         int64_t heard =
             e->now.mono_us - e->opts.member_timeout_us + e->opts.heartbeat_us;
 
-        m->heard_us = heard < m->heard_us ? heard : m->heard_us;
+        m->last_seen_us = heard < m->last_seen_us ? heard : m->last_seen_us;
         return;
     }
     hb = make_heartbeat(e, true, false);
@@ -390,7 +390,7 @@
 
     while ((m = members_next(e, &at)) != NULL) {
         if (!m->self && m->up &&
-            e->now.mono_us - m->heard_us >= e->opts.member_timeout_us) {
+            e->now.mono_us - m->last_seen_us >= e->opts.member_timeout_us) {
             mark_down(e, m, REASON_MEMBER_DOWN);
             lost = true;
         }
@@ -411,7 +411,7 @@
     struct member *m;
 
     while ((m = members_next(e, &at)) != NULL) {
-        int64_t down_us = m->heard_us + e->opts.member_timeout_us;
+        int64_t down_us = m->last_seen_us + e->opts.member_timeout_us;
 
         if (!m->self && m->up && down_us < next) {
             next = down_us;
@@ -443,7 +443,7 @@
     struct member *m;
 
     while ((m = members_next(e, &at)) != NULL) {
-        m->heard_us = e->now.mono_us;
+        m->last_seen_us = e->now.mono_us;
         m->n_loads = 0;
     }
     e->members->heartbeat_due_us = e->now.mono_us;
--- a/src/member.h
+++ b/src/member.h
@@ -19,7 +19,7 @@
     bool up;
     bool stopping;
     uint64_t incarnation; /* newest seen, 0 is none */
-    int64_t heard_us;     /* last heartbeat, monotonic */
+    int64_t last_seen_us; /* last heartbeat, monotonic */
     uint64_t config_version;
     struct rec_load *loads; /* from the last heartbeat that carried loads */
     size_t n_loads;
--- a/src/place.c
+++ b/src/place.c
@@ -251,7 +251,7 @@
 
 static bool
 is_acceptable(const struct entry *e, const struct place *p,
-              const struct pick *pick)
+              const struct place_criteria *pick)
 {
     if (place_task_capacity(e, p, pick->need) == 0) {
         return false;
@@ -265,7 +265,8 @@
 /** pick_level() - a place of one level: one of the first EXAMINED_MAX on a
  * rack that the job does not use yet, otherwise the first that fits */
 static struct place *
-pick_level(const struct entry *e, struct place *first, const struct pick *pick)
+pick_level(const struct entry *e, struct place *first,
+           const struct place_criteria *pick)
 {
     struct place *fits = NULL;
     struct place *p = first;
@@ -285,7 +286,8 @@
 }
 
 static struct place *
-pick_least_loaded(struct entry *e, struct pool *pool, const struct pick *pick)
+pick_least_loaded(struct entry *e, struct pool *pool,
+                  const struct place_criteria *pick)
 {
     for (int level = 0; level < PLACE_LEVELS; level++) {
         struct place *p;
@@ -309,7 +311,8 @@
 
 /** pick_first_fit() - the first place that fits, from a random start */
 static struct place *
-pick_first_fit(struct entry *e, struct pool *pool, const struct pick *pick)
+pick_first_fit(struct entry *e, struct pool *pool,
+               const struct place_criteria *pick)
 {
     size_t from = entry_random(e) % pool->n_places;
 
@@ -324,7 +327,8 @@
 }
 
 static struct place *
-pick_two_choices(struct entry *e, struct pool *pool, const struct pick *pick)
+pick_two_choices(struct entry *e, struct pool *pool,
+                 const struct place_criteria *pick)
 {
     struct place *a = random_place(e, pool);
     struct place *b = random_place(e, pool);
@@ -338,7 +342,8 @@
 }
 
 static struct place *
-pick_random(struct entry *e, struct pool *pool, const struct pick *pick)
+pick_random(struct entry *e, struct pool *pool,
+            const struct place_criteria *pick)
 {
     for (int i = 0; i < RANDOM_TRIES; i++) {
         struct place *p = random_place(e, pool);
@@ -351,14 +356,15 @@
 }
 
 static struct place *(*const pickers[])(struct entry *e, struct pool *pool,
-                                        const struct pick *pick) = {
+                                        const struct place_criteria *pick) = {
     [PLACE_HOLDER] = pick_least_loaded,
     [PLACE_DIRECT] = pick_two_choices,
     [PLACE_RANDOM] = pick_random,
 };
 
 struct place *
-pool_pick(struct entry *e, struct pool *pool, const struct pick *pick)
+pool_pick(struct entry *e, struct pool *pool,
+          const struct place_criteria *pick)
 {
     if (pool->n_available == 0) {
         return NULL;
--- a/src/place.h
+++ b/src/place.h
@@ -42,7 +42,7 @@
  * @listed: in the list of its level
  * @counted_free: free slots that are included in the pool's own_free
  * @level: list that the place is in
- * @rack_bit: bit that stands for the upstream's rack, see struct queued
+ * @rack_bit: bit that stands for the upstream's rack, see struct queue_entry
  * @pool_index: index in the pool's array
  */
 struct place {
@@ -86,12 +86,12 @@
 };
 
 /**
- * struct pick - what a task requires of a place
+ * struct place_criteria - what a task requires of a place
  * @need: resources of the task
  * @rack_bits: bits of the racks on which other tasks of the job were started
  * @idempotent: the task may probe a quarantined upstream early
  */
-struct pick {
+struct place_criteria {
     struct resources need;
     uint64_t rack_bits;
     bool idempotent;
@@ -105,7 +105,7 @@
 
 /** pool_pick() - the best place with capacity for the task, or NULL */
 struct place *pool_pick(struct entry *e, struct pool *pool,
-                        const struct pick *pick);
+                        const struct place_criteria *pick);
 
 /** pool_clear() - empties the pool; does not free the places */
 void pool_clear(struct pool *pool);
--- a/src/queue.c
+++ b/src/queue.c
@@ -13,7 +13,8 @@
  * a large job waiting until its deadline.  The handicap is limited to half of
  * the job's time limit, so jobs submitted later than that do not overtake. */
 int64_t
-queue_rank_us(enum queue_order order, const struct queued *q, int64_t work_us)
+queue_rank_us(enum queue_order order, const struct queue_entry *q,
+              int64_t work_us)
 {
     int64_t handicap = HANDICAP_FACTOR * work_us;
     int64_t longest = q->time_limit_us / HANDICAP_LIMIT_DIVISOR;
@@ -25,7 +26,7 @@
 }
 
 static bool
-ranks_before(const struct queued *a, const struct queued *b)
+ranks_before(const struct queue_entry *a, const struct queue_entry *b)
 {
     if (a->rank_us != b->rank_us) {
         return a->rank_us < b->rank_us;
@@ -34,7 +35,7 @@
 }
 
 static void
-heap_set(struct queue *qu, size_t i, struct queued *q)
+heap_set(struct queue *qu, size_t i, struct queue_entry *q)
 {
     qu->heap[i] = q;
     q->heap_pos = i + 1;
@@ -43,7 +44,7 @@
 static void
 sift_up(struct queue *qu, size_t i)
 {
-    struct queued *q = qu->heap[i];
+    struct queue_entry *q = qu->heap[i];
 
     while (i > 0) {
         size_t parent = (i - 1) / 2;
@@ -60,7 +61,7 @@
 static void
 sift_down(struct queue *qu, size_t i)
 {
-    struct queued *q = qu->heap[i];
+    struct queue_entry *q = qu->heap[i];
 
     for (;;) {
         size_t child = 2 * i + 1;
@@ -88,14 +89,14 @@
         return;
     }
     qu->capacity = qu->capacity == 0 ? QUEUE_MIN_CAPACITY : 2 * qu->capacity;
-    qu->heap = realloc(qu->heap, qu->capacity * sizeof(struct queued *));
+    qu->heap = realloc(qu->heap, qu->capacity * sizeof(struct queue_entry *));
     if (qu->heap == NULL) {
         abort();
     }
 }
 
 void
-queue_put(struct queue *qu, struct queued *q)
+queue_put(struct queue *qu, struct queue_entry *q)
 {
     size_t i;
 
@@ -112,10 +113,10 @@
 }
 
 void
-queue_remove(struct queue *qu, struct queued *q)
+queue_remove(struct queue *qu, struct queue_entry *q)
 {
     size_t i = q->heap_pos;
-    struct queued *last;
+    struct queue_entry *last;
 
     if (i == 0) {
         return;
@@ -131,7 +132,7 @@
     sift_down(qu, last->heap_pos - 1);
 }
 
-struct queued *
+struct queue_entry *
 queue_first(const struct queue *qu)
 {
     return qu->n > 0 ? qu->heap[0] : NULL;
--- a/src/queue.h
+++ b/src/queue.h
@@ -19,7 +19,7 @@
 struct service_state;
 
 /**
- * struct queued - queue entry of a job that has tasks queued or in flight
+ * struct queue_entry - queue entry of a job that has tasks queued or in flight
  * @job: handle of the job
  * @service: service whose queue the entry belongs to
  * @submitted_us: monotonic time of the submission
@@ -33,7 +33,7 @@
  * @n_tasks: number of queued tasks
  * @tasks: indices of the queued tasks; started from the end
  */
-struct queued {
+struct queue_entry {
     struct handle job;
     struct service_state *service;
     int64_t submitted_us;
@@ -49,7 +49,7 @@
 };
 
 struct queue {
-    struct queued **heap;
+    struct queue_entry **heap;
     size_t n;
     size_t capacity;
     uint64_t last_sequence;
@@ -57,17 +57,17 @@
 
 /** queue_rank_us() - rank of a job; @work_us is the job's queued work divided
  * by the number of slots that the service may use */
-int64_t queue_rank_us(enum queue_order order, const struct queued *q,
+int64_t queue_rank_us(enum queue_order order, const struct queue_entry *q,
                       int64_t work_us);
 
 /** queue_put() - adds an entry, or moves it after a change of its rank */
-void queue_put(struct queue *qu, struct queued *q);
+void queue_put(struct queue *qu, struct queue_entry *q);
 
 /** queue_remove() - removes an entry; does nothing if it is not in the heap */
-void queue_remove(struct queue *qu, struct queued *q);
+void queue_remove(struct queue *qu, struct queue_entry *q);
 
 /** queue_first() - the entry to serve next, or NULL */
-struct queued *queue_first(const struct queue *qu);
+struct queue_entry *queue_first(const struct queue *qu);
 
 /** queue_clear() - frees the heap, but not the entries */
 void queue_clear(struct queue *qu);
--- a/src/slot.c
+++ b/src/slot.c
@@ -92,7 +92,8 @@
 }
 
 void
-slots_add_own(struct entry *e, struct service_state *s, struct upstream *u)
+slots_add_own_place(struct entry *e, struct service_state *s,
+                    struct upstream *u)
 {
     struct place *p = add_place(e, u);
 
--- a/src/slot.h
+++ b/src/slot.h
@@ -23,10 +23,10 @@
 /** slots_get_place() - the place of a handle, or NULL if it was removed */
 struct place *slots_get_place(const struct entry *e, struct handle h);
 
-/** slots_add_own() - adds a place (place.h) for an upstream on which this
- * instance may start tasks without a grant of another one */
-void slots_add_own(struct entry *e, struct service_state *s,
-                   struct upstream *u);
+/** slots_add_own_place() - adds a place (place.h) for an upstream on which
+ * this instance may start tasks without a grant of another one */
+void slots_add_own_place(struct entry *e, struct service_state *s,
+                         struct upstream *u);
 
 /** slots_on_start_ended() - a start at a place ended: a closed place is
  * removed or returns its idle slots, a borrowed one is checked for idle slots
--- a/src/start.c
+++ b/src/start.c
@@ -219,7 +219,7 @@
 starts_send(struct entry *e, struct job *job, uint32_t index, struct place *p)
 {
     struct starts *ss = starts_of(e);
-    struct queued *q = job->queue_entry;
+    struct queue_entry *q = job->queue_entry;
     struct task *t = &job->tasks[index];
     struct handle h;
     struct start *s = table_add(&ss->table, &h);
