--- a/src/broker_answer.c
+++ b/src/broker_answer.c
@@ -29,7 +29,7 @@
 enum { PERCENT_FULL = 100, PERCENT_MIN = 40 };
 
 static bool
-same_run(struct task_ref a, struct task_ref b)
+same_run(struct run_ref a, struct run_ref b)
 {
     return a.job == b.job && a.group == b.group && a.index == b.index &&
            a.run == b.run;
@@ -54,12 +54,12 @@
 
 static struct run_task *
 find_placed_run(struct broker *b, const struct broker_upstream *u,
-                struct task_ref ref, struct run_job **job)
+                struct run_ref ref, struct run_job **job)
 {
     for (size_t i = 0; i < u->n_tasks; i++) {
         struct run_task *t = run_find_task(b, &u->tasks[i], job);
 
-        if (same_run(lease_task_ref(*job, t), ref)) {
+        if (same_run(lease_run_ref(*job, t), ref)) {
             return t;
         }
     }
@@ -253,7 +253,7 @@
 }
 
 static bool
-is_listed_running(const struct lease_answer *a, struct task_ref ref)
+is_listed_running(const struct lease_answer *a, struct run_ref ref)
 {
     for (size_t i = 0; i < a->n_running; i++) {
         if (same_run(a->running[i].task, ref)) {
@@ -285,7 +285,7 @@
             continue; /* resolving a task may have removed its whole job */
         }
         t = run_find_task(b, &u->tasks[i - 1], &job);
-        if (is_listed_running(a, lease_task_ref(job, t))) {
+        if (is_listed_running(a, lease_run_ref(job, t))) {
             continue;
         }
         stopped = t->stop_confirmed_us <= sent_us;
@@ -372,7 +372,7 @@
         u->full_until_us = b->now.mono_us + FULL_RETRY_US;
         u->poll_us = u->poll == 0 ? b->now.mono_us : u->poll_us;
     }
-    else if (result == LEASE_UNHEALTHY || result == LEASE_UNSENT ||
+    else if (result == LEASE_UNHEALTHY || result == LEASE_NOT_SENT ||
              result == LEASE_WRONG_UPSTREAM) {
         broker_health_task_failed(b, u);
         t->avoid_upstream = u->name;
@@ -572,7 +572,7 @@
         on_any_poll(b, u, a, &c, quick, stale);
         return;
     }
-    if (a->result != LEASE_NO_ANSWER && a->result != LEASE_UNSENT) {
+    if (a->result != LEASE_NO_ANSWER && a->result != LEASE_NOT_SENT) {
         update_ack_time(b, b->now.mono_us - c.sent_us);
     }
     on_task_call(b, u, &c, a->result);
--- a/src/broker_hold.c
+++ b/src/broker_hold.c
@@ -399,7 +399,7 @@
     bool leaving = r->leaving != 0 || r->gone != 0;
 
     u->sequence = r->sequence;
-    u->service = run_get_service(b, r->service);
+    u->service = run_ensure_service(b, r->service);
     u->zone = r->zone;
     u->address = r->address;
     u->slots = (uint32_t)r->slots;
@@ -501,8 +501,9 @@
             open_upstream(b, u);
         }
     }
-    else if (!ours && is_held(u) && !b->draining && u->n_tasks == 0 &&
-             !u->ack_pending && !needed_by_started_job(b, u)) {
+    else if (!ours && is_held(u) && !b->serves_while_stopping &&
+             u->n_tasks == 0 && !u->ack_pending &&
+             !needed_by_started_job(b, u)) {
         release_upstream(b, u);
     }
 }
--- a/src/broker_lease.c
+++ b/src/broker_lease.c
@@ -17,10 +17,10 @@
 /* Mean deviations added to the mean response time. */
 enum { ANSWER_TIMEOUT_DEVIATIONS = 8 };
 
-struct task_ref
-lease_task_ref(const struct run_job *job, const struct run_task *t)
+struct run_ref
+lease_run_ref(const struct run_job *job, const struct run_task *t)
 {
-    return (struct task_ref){
+    return (struct run_ref){
         .job = job->id, .group = t->group, .index = t->index, .run = t->run};
 }
 
@@ -163,7 +163,7 @@
     c->job = job->self;
     c->task = (uint32_t)(t - job->tasks);
     c->run = t->run;
-    r->task = lease_task_ref(job, t);
+    r->task = lease_run_ref(job, t);
     r->spec = blob_ref(job->spec);
     r->deadline_ms = next_deadline_ms(b, u);
     if (u->poll == 0 && u->poll_us > b->now.mono_us) {
@@ -173,7 +173,7 @@
 
 void
 lease_send_stop(struct broker *b, struct broker_upstream *u,
-                struct task_ref task, struct handle job, uint32_t number)
+                struct run_ref task, struct handle job, uint32_t number)
 {
     struct broker_call *c;
     struct lease_request *r = new_call(b, u, LEASE_STOP, &c);
@@ -192,7 +192,7 @@
     t->stop_confirmed_us = INT64_MAX;
     t->stop_sent_us = b->now.mono_us;
     if (u != NULL && u->state != HOLD_LOST) {
-        lease_send_stop(b, u, lease_task_ref(job, t), job->self,
+        lease_send_stop(b, u, lease_run_ref(job, t), job->self,
                         (uint32_t)(t - job->tasks));
     }
 }
--- a/src/broker_peer.c
+++ b/src/broker_peer.c
@@ -137,7 +137,7 @@
     }
     p->up = true;
     p->stopping = false;
-    p->draining = false;
+    p->serves_while_stopping = false;
     p->config_poll_us = b->now.mono_us;
     if (!p->registry) {
         /* Sent before the introduction, by which the other broker may conclude
@@ -243,7 +243,7 @@
         p->loads[i].reported = l->services[i];
     }
     b->runners_updated = b->runners_updated || n > 0;
-    p->draining = l->lingers != 0;
+    p->serves_while_stopping = l->lingers != 0;
     if (p->stopping != (l->stopping != 0)) {
         p->stopping = l->stopping != 0;
         mark_view_changed(b);
@@ -265,7 +265,7 @@
         n++;
     }
     l->stopping = b->stopping ? 1 : 0;
-    l->lingers = b->draining ? 1 : 0;
+    l->lingers = b->serves_while_stopping ? 1 : 0;
     l->sent_us = (uint64_t)b->now.mono_us;
     l->services = calloc(n + 1, sizeof(*l->services));
     if (l->services == NULL) {
@@ -396,7 +396,7 @@
 bool
 peers_can_run_jobs(const struct broker_peer *p)
 {
-    return (p->up || p->self) && (!p->stopping || p->draining);
+    return (p->up || p->self) && (!p->stopping || p->serves_while_stopping);
 }
 
 /* Orders by start time, the oldest process first. */
--- a/src/broker_renew.c
+++ b/src/broker_renew.c
@@ -167,7 +167,7 @@
 }
 
 void
-renew_end_interest(const struct broker *b, struct run_job *job)
+renew_close_job(const struct broker *b, struct run_job *job)
 {
     job->renewed_us = renew_confirmed_us(b, job);
     job->closed = true;
--- a/src/broker_run.c
+++ b/src/broker_run.c
@@ -14,7 +14,7 @@
 #define QUEUE_REVIEW_US (20 * USEC_PER_MSEC)
 
 struct broker_service *
-run_get_service(struct broker *b, struct name name)
+run_ensure_service(struct broker *b, struct name name)
 {
     struct broker_service *s = b->services;
 
@@ -149,7 +149,7 @@
     if (job->closed) {
         return;
     }
-    renew_end_interest(b, job);
+    renew_close_job(b, job);
     order_remove(job);
     send_job_end(b, job->taker, job->number, outcome, reason, retry_us);
     broker_log(
@@ -178,7 +178,7 @@
     if (job->closed) {
         return;
     }
-    renew_end_interest(b, job);
+    renew_close_job(b, job);
     order_remove(job);
     broker_log(b, LOG_INFO, reason, job->id, -1, job->taker,
                "%u of %u tasks left, %u at upstreams", job->n_unfinished,
@@ -356,7 +356,7 @@
     job->number = o->number;
     job->id = o->id;
     job->queue = o->queue;
-    job->service = run_get_service(b, o->service);
+    job->service = run_ensure_service(b, o->service);
     job->priority = (uint32_t)o->priority;
     job->attempts = o->attempts > 0 ? (uint32_t)o->attempts : 1;
     job->arrived_us = b->now.mono_us - (int64_t)o->age_us;
--- a/src/broker_shutdown.c
+++ b/src/broker_shutdown.c
@@ -26,8 +26,8 @@
 void
 shutdown_begin(struct broker *b)
 {
-    b->draining = hold_has_any(b) && !peers_have_successor(b);
-    if (b->draining) {
+    b->serves_while_stopping = hold_has_any(b) && !peers_have_successor(b);
+    if (b->serves_while_stopping) {
         /* The other brokers must know at once that jobs are still run here. */
         b->next_load_us = b->now.mono_us;
         broker_log(b, LOG_NOTICE, BROKER_LINGERS, 0, -1, b->opts.self,
@@ -42,11 +42,12 @@
 void
 shutdown_tick(struct broker *b)
 {
-    if (!b->draining || (b->now.mono_us < last_serve_us(b) &&
-                         hold_has_any(b) && !peers_have_successor(b))) {
+    if (!b->serves_while_stopping ||
+        (b->now.mono_us < last_serve_us(b) && hold_has_any(b) &&
+         !peers_have_successor(b))) {
         return;
     }
-    b->draining = false;
+    b->serves_while_stopping = false;
     b->review_due = true;
     b->next_load_us = b->now.mono_us;
     broker_log(b, LOG_NOTICE, BROKER_LINGERED, 0, -1, b->opts.self,
@@ -57,7 +58,7 @@
 int64_t
 shutdown_next_us(const struct broker *b)
 {
-    return b->draining ? last_serve_us(b) : INT64_MAX;
+    return b->serves_while_stopping ? last_serve_us(b) : INT64_MAX;
 }
 
 bool
@@ -67,6 +68,6 @@
     int64_t left_us =
         b->stop_begun_us + b->opts.stop_timeout_us - b->now.mono_us;
 
-    return b->draining &&
+    return b->serves_while_stopping &&
            RUN_TIME_FACTOR * chain_us < left_us - RUN_END_RESERVE_US / 2;
 }
--- a/src/broker_state.h
+++ b/src/broker_state.h
@@ -54,7 +54,7 @@
  * @broker: introduced itself as a broker
  * @up: connected
  * @stopping: in a planned stop; takes no further upstreams
- * @draining: still runs new jobs although it is stopping
+ * @serves_while_stopping: still runs new jobs although it is stopping
  * @loads: of its services
  * @n_loads: number of @loads
  * @config_poll_us: for a registry: when to ask it for a newer configuration
@@ -84,7 +84,7 @@
     bool broker;
     bool up;
     bool stopping;
-    bool draining;
+    bool serves_while_stopping;
     struct broker_load *loads;
     size_t n_loads;
     int64_t config_poll_us;
@@ -461,7 +461,8 @@
  * @local_msgs: messages of this process to itself, handled before the step
  *              ends
  * @stopping: a planned stop has begun
- * @draining: it still runs new jobs while stopping, see broker_shutdown.c
+ * @serves_while_stopping: it still runs new jobs while stopping, see
+ * broker_shutdown.c
  * @stopped_reported: BE_STOPPED was emitted
  * @stop_begun_us: when the planned stop began
  * @ack_mean_us: mean time from a call to its answer, estimated like TCP's
@@ -517,7 +518,7 @@
     size_t local_msgs_capacity;
 
     bool stopping;
-    bool draining;
+    bool serves_while_stopping;
     bool stopped_reported;
     int64_t stop_begun_us;
     int64_t ack_mean_us;
@@ -688,8 +689,9 @@
  * takers, which offer them to other runners */
 void run_return_unstarted(struct broker *b);
 
-/** run_get_service() - the service of that name; created if it is unknown */
-struct broker_service *run_get_service(struct broker *b, struct name name);
+/** run_ensure_service() - the service of that name; created if it is unknown
+ */
+struct broker_service *run_ensure_service(struct broker *b, struct name name);
 
 /** run_task_number() - number of a task in its job, for logs */
 int32_t run_task_number(const struct run_job *job, const struct run_task *t);
@@ -730,9 +732,9 @@
  * be connected */
 int64_t renew_confirmed_us(const struct broker *b, const struct run_job *job);
 
-/** renew_end_interest() - the job's caller needs no answer from now on; the
+/** renew_close_job() - the job's caller needs no answer from now on; the
  * lease of the job is not renewed any more */
-void renew_end_interest(const struct broker *b, struct run_job *job);
+void renew_close_job(const struct broker *b, struct run_job *job);
 
 /** renew_upstream_limit_us() - when all runs on the upstream must have ended:
  * the earliest end of the job leases of the tasks there; INT64_MAX for none */
@@ -928,15 +930,15 @@
  * answers when a run ends, or after a while */
 void lease_poll(struct broker *b, struct broker_upstream *u);
 
-/** lease_task_ref() - the reference by which a run is named to an upstream */
-struct task_ref lease_task_ref(const struct run_job *job,
-                               const struct run_task *t);
+/** lease_run_ref() - the reference by which a run is named to an upstream */
+struct run_ref lease_run_ref(const struct run_job *job,
+                             const struct run_task *t);
 
 /** lease_send_stop() - stops a run, which need not have been started here;
  * @job and @number refer to the task that awaits the answer, @job is empty
  * for none */
 void lease_send_stop(struct broker *b, struct broker_upstream *u,
-                     struct task_ref task, struct handle job, uint32_t number);
+                     struct run_ref task, struct handle job, uint32_t number);
 
 /** lease_quick_poll() - sends a poll that is answered at once, also while
  * another poll is in progress */
--- a/src/lease.c
+++ b/src/lease.c
@@ -15,7 +15,7 @@
         [LEASE_UNHEALTHY] = "upstream is unhealthy",
         [LEASE_WRONG_UPSTREAM] = "another upstream answers at the address",
         [LEASE_BAD_REQUEST] = "call could not be decoded",
-        [LEASE_UNSENT] = "no connection",
+        [LEASE_NOT_SENT] = "no connection",
         [LEASE_NO_ANSWER] = "no answer",
     };
 
--- a/src/lease.h
+++ b/src/lease.h
@@ -14,13 +14,13 @@
 #include "base.h"
 #include "blob.h"
 
-/** struct task_ref - identifies a run of a task at all brokers and upstreams
+/** struct run_ref - identifies a run of a task at all brokers and upstreams
  * @job: the caller's number of the job
  * @group: index of the task's group in the job
  * @index: of the task in its group
  * @run: rises with each start of the task
  */
-struct task_ref {
+struct run_ref {
     uint64_t job;
     uint32_t group;
     uint32_t index;
@@ -46,7 +46,7 @@
     LEASE_WRONG_UPSTREAM,  /* refused: another upstream answers at the address
                             */
     LEASE_BAD_REQUEST,     /* refused: the call can't be decoded */
-    LEASE_UNSENT,          /* no connection: the call was not sent */
+    LEASE_NOT_SENT,        /* no connection: the call was not sent */
     LEASE_NO_ANSWER, /* no answer: may have been or still be carried out */
 };
 
@@ -55,7 +55,7 @@
 
 /** struct lease_running - a current run of an upstream */
 struct lease_running {
-    struct task_ref task;
+    struct run_ref task;
     uint32_t percent; /* progress */
 };
 
@@ -72,7 +72,7 @@
  * incarnation of the upstream, from 1 */
 struct lease_ended {
     uint64_t number;
-    struct task_ref task;
+    struct run_ref task;
     enum lease_end outcome;
 };
 
@@ -117,7 +117,7 @@
     struct name upstream;
     struct address address;
     uint64_t fence;
-    struct task_ref task;
+    struct run_ref task;
     struct blob *spec;
     int64_t deadline_ms;
     uint64_t acked;
--- a/src/leaseclient.c
+++ b/src/leaseclient.c
@@ -339,7 +339,7 @@
         }
     }
     else if (call->attempts == 0) {
-        answer.result = LEASE_UNSENT;
+        answer.result = LEASE_NOT_SENT;
     }
     c->opts.on_outcome(c->opts.ctx, call->number, &answer);
 }
--- a/src/leaseclient.h
+++ b/src/leaseclient.h
@@ -78,7 +78,7 @@
 
 /** leaseclient_send() - sends a call, and takes over its spec.  The timeout
  * counts from when the request is sent on a connection.  If no connection is
- * established within the timeout after dialing, the call is LEASE_UNSENT. */
+ * established within the timeout after dialing, the call is LEASE_NOT_SENT. */
 void leaseclient_send(struct leaseclient *c, struct be_call *call);
 
 /** leaseclient_fd() - a descriptor that is readable when leaseclient_run()
--- a/src/vlease.c
+++ b/src/vlease.c
@@ -260,7 +260,7 @@
 
 void
 vlease_fault(struct vlease *v, uint32_t *counter, struct name where,
-             struct task_ref task)
+             struct run_ref task)
 {
     (*counter)++;
     if (v->log != NULL) {
--- a/src/vlease_state.h
+++ b/src/vlease_state.h
@@ -74,7 +74,7 @@
 };
 
 struct vrun {
-    struct task_ref task;
+    struct run_ref task;
     uint32_t cpu_milli;
     int64_t begun_us;
     int64_t left_us; /* of its work, at @moved_us */
@@ -114,7 +114,7 @@
     size_t ended_room;
     uint64_t last_ended;
     struct vlook look;
-    struct task_ref stopped[64]; /* runs that must not start any more */
+    struct run_ref stopped[64]; /* runs that must not start any more */
     size_t n_stopped;
 };
 
@@ -192,7 +192,7 @@
 
 /** vlease_fault() - counts a broken promise, and logs it */
 void vlease_fault(struct vlease *v, uint32_t *counter, struct name where,
-                  struct task_ref task);
+                  struct run_ref task);
 
 /** vlease_announce() - what an upstream says reaches its zone's registry */
 void vlease_announce(struct vlease *v, const struct vupstream *u,
@@ -239,7 +239,7 @@
 void vcall_broken(struct vlease *v, const struct vprocess *p);
 
 /** vcall_started() - a run of that task begins */
-void vcall_started(struct vlease *v, struct task_ref task);
+void vcall_started(struct vlease *v, struct run_ref task);
 
 /** vcall_run_us() - how long a task of a job takes where it is sound */
 int64_t vcall_run_us(const struct vlease *v, uint64_t number, uint32_t index);
--- a/src/vleasecall.c
+++ b/src/vleasecall.c
@@ -280,12 +280,12 @@
     job->retry_us = a->retry_after_us;
     if (a->outcome == JOB_REFUSED_OUTCOME && job->started) {
         vlease_fault(v, &v->faults.false_refusals, p->name,
-                     (struct task_ref){.job = a->request});
+                     (struct run_ref){.job = a->request});
     }
 }
 
 void
-vcall_started(struct vlease *v, struct task_ref task)
+vcall_started(struct vlease *v, struct run_ref task)
 {
     struct vjob *job = vcall_job(v, task.job);
 
--- a/src/vleaseup.c
+++ b/src/vleaseup.c
@@ -98,7 +98,7 @@
 }
 
 static bool
-same_task(struct task_ref a, struct task_ref b)
+same_task(struct run_ref a, struct run_ref b)
 {
     return a.job == b.job && a.group == b.group && a.index == b.index;
 }
@@ -217,7 +217,7 @@
 /* Ends of runs */
 
 static void
-remember_stopped(struct vupstream *u, struct task_ref t)
+remember_stopped(struct vupstream *u, struct run_ref t)
 {
     u->stopped[u->n_stopped++ % STOPPED_MAX] = t;
 }
@@ -306,7 +306,7 @@
 /* Calls */
 
 static bool
-too_old(const struct vupstream *u, struct task_ref t)
+too_old(const struct vupstream *u, struct run_ref t)
 {
     for (size_t i = 0; i < STOPPED_MAX && i < u->n_stopped; i++) {
         if (same_task(u->stopped[i], t) && u->stopped[i].run >= t.run) {
@@ -318,7 +318,7 @@
 
 /* Whether the task runs anywhere else just now, on an upstream that is up. */
 static void
-judge_overlap(struct vlease *v, struct task_ref t)
+judge_overlap(struct vlease *v, struct run_ref t)
 {
     for (uint32_t i = 0; i < v->n_upstreams; i++) {
         const struct vupstream *u = &v->upstreams[i];
@@ -332,7 +332,7 @@
 }
 
 static void
-judge_room(struct vlease *v, const struct vupstream *u, struct task_ref t,
+judge_room(struct vlease *v, const struct vupstream *u, struct run_ref t,
            uint32_t cpu)
 {
     bool leaving =
@@ -390,7 +390,7 @@
 }
 
 static void
-stop(struct vlease *v, struct vupstream *u, struct task_ref t)
+stop(struct vlease *v, struct vupstream *u, struct run_ref t)
 {
     remember_stopped(u, t);
     move_on(v, u);
--- a/tests/broker_load_test.c
+++ b/tests/broker_load_test.c
@@ -378,7 +378,7 @@
     job->self = h;
     job->id = handle_number(h);
     job->taker = b->opts.self;
-    job->service = run_get_service(b, name_of("service"));
+    job->service = run_ensure_service(b, name_of("service"));
     job->groups = calloc(1, sizeof(*job->groups));
     job->tasks = calloc(1, sizeof(*job->tasks));
     if (job->groups == NULL || job->tasks == NULL) {
--- a/tests/leaseclient_test.c
+++ b/tests/leaseclient_test.c
@@ -369,7 +369,7 @@
     begin(&o);
     stop_listening(&o);
     CU_ASSERT(net_await(has_outcome, &o));
-    CU_ASSERT_EQUAL(o.result, LEASE_UNSENT);
+    CU_ASSERT_EQUAL(o.result, LEASE_NOT_SENT);
     CU_ASSERT_EQUAL(o.outcomes, 1);
     finish(&o);
 }
