--- a/src/control_disk.c
+++ b/src/control_disk.c
@@ -53,8 +53,8 @@
     d->opts.failed(d->opts.ctx, err, storage_detail(d->opts.storage));
 }
 
-/* After the first failure nothing is carried out and nothing reported as
- * saved: what a failed sync left on the disk is not known. */
+/* After the first failure effects are discarded and nothing is reported as
+ * saved, because the state of the disk after a failed sync is unknown. */
 static void
 work_batch(struct control_disk *d)
 {
--- a/src/control_disk.h
+++ b/src/control_disk.h
@@ -1,9 +1,9 @@
 /**
- * DOC: control_disk - the thread that carries out effects on the disk
+ * DOC: control_disk - thread that executes the disk effects of the reducer
  *
- * In the order they were posted.  All that waits is written before one sync
- * covers it (group commit), so that many changes in a row do not cost a sync
- * each, and the reducer never waits for the disk.
+ * Effects are executed in the order they were posted.  All queued effects are
+ * written before one sync (group commit), so that a series of changes does not
+ * need a sync each, and the reducer never blocks on the disk.
  */
 #ifndef BM_CONTROL_DISK_H
 #define BM_CONTROL_DISK_H
@@ -13,11 +13,11 @@
 
 /**
  * struct control_disk_options - how to construct one
- * @storage: open; the thread is its only user from now on
- * @saved: all up to that sync is durable
- * @failed: the disk failed, and nothing is carried out any more: the process
- *          must stop
- * @ctx: for both; they are called by the thread
+ * @storage: open storage; used only by the thread from now on
+ * @saved: called when all effects up to sync @seq are durable
+ * @failed: called when the disk failed; later effects are discarded and the
+ *          process must stop
+ * @ctx: argument of both callbacks, which run on the thread
  */
 struct control_disk_options {
     struct storage *storage;
@@ -28,17 +28,18 @@
 
 struct control_disk;
 
-/** control_disk_write() - carries one effect out, without any sync */
+/** control_disk_write() - executes one effect; CE_SYNC does nothing here */
 enum storage_error control_disk_write(struct storage *s,
                                       const struct control_effect *f);
 
-/** control_disk_new() - starts the thread; NULL when it can't */
+/** control_disk_new() - starts the thread; NULL on failure */
 struct control_disk *control_disk_new(const struct control_disk_options *o);
 
-/** control_disk_post() - takes over what the effect owns */
+/** control_disk_post() - queues an effect and takes ownership of its data */
 void control_disk_post(struct control_disk *d, struct control_effect *f);
 
-/** control_disk_free() - carries out what was posted; NULL is allowed */
+/** control_disk_free() - executes the queued effects and ends the thread; NULL
+ * is allowed */
 void control_disk_free(struct control_disk *d);
 
 #endif
--- a/src/disk.c
+++ b/src/disk.c
@@ -11,9 +11,10 @@
 
 enum { OPEN_FILES = 4, DISK_NAME_SIZE = 32 };
 
-/* A file stays open from its first write until it is renamed or removed: the
- * kernel reports a failed write-back to the descriptors that were open then,
- * so a sync through a fresh one could succeed although data was lost. */
+/* A file stays open from its first write until it is renamed or removed.  The
+ * kernel reports a failed write-back only to descriptors that were open when
+ * it happened; fsync() on a newly opened one could succeed although data was
+ * lost. */
 struct open_file {
     char name[DISK_NAME_SIZE];
     int fd;
--- a/src/disk.h
+++ b/src/disk.h
@@ -1,9 +1,9 @@
 /**
- * DOC: disk - the few file operations that storage.c builds on
+ * DOC: disk - file operations that storage.c is built on
  *
- * A table of functions, so that tests put a disk beneath the real storage code
- * that forgets what was not synced, tears, flips, fills up or fails.  Names
- * are plain file names in one data folder.  All functions return 0 or a
+ * A table of functions, so that tests can run the storage code on a simulated
+ * disk that loses unsynced data, tears writes, flips bits, fills up or fails.
+ * Names are plain file names in one data folder.  All functions return 0 or a
  * negative errno.
  */
 #ifndef BM_DISK_H
@@ -15,15 +15,16 @@
 struct disk;
 
 /**
- * struct disk_ops - what a disk can do
- * @read: the whole file into a new buffer; -ENOENT when there is none
- * @append: adds bytes at the end, makes the file if there is none; on an error
- *          some of them may be there
- * @truncate: cuts the file to that size
- * @sync: content of the file is durable when it returns 0
+ * struct disk_ops - operations of a disk
+ * @read: reads the whole file into a new buffer, to be freed with free();
+ *        -ENOENT if there is no such file
+ * @append: writes at the end and creates the file if needed; on an error a
+ *          part of the data may have been written
+ * @truncate: shortens the file to @size bytes
+ * @sync: makes the content of the file durable
  * @rename: replaces @to; durable after sync_folder
- * @remove: -ENOENT when there is none; durable after sync_folder
- * @sync_folder: names are durable when it returns 0
+ * @remove: -ENOENT if there is no such file; durable after sync_folder
+ * @sync_folder: makes file names (creation, rename, removal) durable
  */
 struct disk_ops {
     int (*read)(struct disk *d, const char *name, char **data, size_t *size);
@@ -36,11 +37,11 @@
     int (*sync_folder)(struct disk *d);
 };
 
-/** disk_files_ops() - on the files of a folder */
+/** disk_files_ops() - operations on the files of a real folder */
 const struct disk_ops *disk_files_ops(void);
 
-/** disk_files_open() - makes the folder if there is none and locks it against
- * other processes; -EWOULDBLOCK when one has it */
+/** disk_files_open() - creates the folder if needed and locks it against other
+ * processes; -EWOULDBLOCK if another process holds the lock */
 int disk_files_open(const char *folder, struct disk **out);
 
 /** disk_files_close() - NULL is allowed */
--- a/src/storage.c
+++ b/src/storage.c
@@ -19,7 +19,7 @@
     ENTRIES_START = 64,
 };
 
-/* Before the body of every record; little-endian. */
+/* Precedes the body of every record; little-endian. */
 struct record_head {
     uint32_t magic;
     uint32_t size;
@@ -31,12 +31,12 @@
     enum storage_error failed;
     char detail[DETAIL_SIZE];
     uint64_t base;       /* index before the first entry of the file */
-    uint64_t base_term;  /* its term */
-    uint64_t *offsets;   /* of entry base + 1 + i */
+    uint64_t base_term;  /* term of the entry at base */
+    uint64_t *offsets;   /* file offset of entry base + 1 + i */
     size_t n;            /* entries in the file */
-    size_t room;         /* of offsets */
-    uint64_t size;       /* of the log file */
-    bool unsynced;       /* something was appended since the last sync */
+    size_t room;         /* capacity of offsets */
+    uint64_t size;       /* size of the log file, bytes */
+    bool unsynced;       /* entries were appended since the last sync */
     msgpack_sbuffer out; /* reused for encoding */
 };
 
@@ -82,8 +82,8 @@
     return s->failed;
 }
 
-/* The place in the file is part of the checksum: a block that the disk put in
- * another place does not pass as the record that belongs there. */
+/* The checksum covers the offset in the file, so that a block that the disk
+ * wrote to a wrong place is not accepted as the record of that place. */
 static uint64_t
 record_checksum(const char *body, uint32_t size, uint64_t offset)
 {
@@ -91,8 +91,8 @@
                                 offset * UINT64_C(0x9e3779b1) + size);
 }
 
-/* Appends the record of a message to @to, as it stands at @offset of a file.
- */
+/* Encodes a message as the record at @offset of a file and appends the record
+ * to @to. */
 static void
 frame(msgpack_sbuffer *to, const struct msg *m, uint64_t offset)
 {
@@ -102,7 +102,7 @@
 
     if (msgpack_sbuffer_write(to, (const char *)&head, sizeof(head)) != 0 ||
         wire_encode(m, to) != WIRE_OK) {
-        abort(); /* bounds are checked before an entry is accepted */
+        abort(); /* entry sizes are checked before an entry is accepted */
     }
     size = (uint32_t)(to->size - at - sizeof(head));
     head.magic = htole32(RECORD_MAGIC);
@@ -112,7 +112,8 @@
     memcpy(to->data + at, &head, sizeof(head));
 }
 
-/* The record at @offset; returns its whole size, 0 when it is not sound. */
+/* Decodes the record at @offset.  Returns its size with the header, or 0 if
+ * the record is invalid. */
 static size_t
 unframe(const char *data, size_t size, size_t offset, struct msg *m)
 {
@@ -133,7 +134,7 @@
     return wire_decode(body, length, m) == WIRE_OK ? sizeof(head) + length : 0;
 }
 
-/* Files that are replaced whole. */
+/* Replaces a file atomically. */
 static enum storage_error
 replace_file(struct storage *s, const char *name, const void *data,
              size_t size)
@@ -168,7 +169,8 @@
     return replace_file(s, name, s->out.data, s->out.size);
 }
 
-/* Reads a file of one record; false when there is none or on an error. */
+/* Reads a file that holds one record.  Returns false if the file is missing or
+ * on an error. */
 static bool
 read_record(struct storage *s, const char *name, enum msg_kind kind,
             struct msg *m)
@@ -193,7 +195,6 @@
     return found;
 }
 
-/* The log. */
 static void
 note_offset(struct storage *s, uint64_t offset)
 {
@@ -230,8 +231,8 @@
     return m;
 }
 
-/* Whether an intact mark stands anywhere behind @from: then what is at @from
- * was durable once. */
+/* Returns whether a valid mark follows @from; the data at @from was durable
+ * then. */
 static bool
 mark_behind(const char *data, size_t size, size_t from)
 {
@@ -392,9 +393,9 @@
     return append_bytes(s, s->out.data, s->out.size);
 }
 
-/* Cuts the file and waits for it.  If new records were written first, a power
- * loss could leave half of the old tail with its marks behind half of the new
- * one, which would pass for damage at the next start. */
+/* Truncates the log and syncs it before new records are appended.  Otherwise a
+ * power loss could leave marks of the old tail behind a torn new record, which
+ * the next start would report as damage. */
 static enum storage_error
 cut_log(struct storage *s, uint64_t size)
 {
@@ -432,7 +433,7 @@
     return replace_record(s, VOTE, &m);
 }
 
-/* A new log file that holds the entries behind @index only. */
+/* Encodes a log file with the entries of @data from offset @keep_from on. */
 static void
 build_log(struct storage *s, const char *data, size_t size, size_t keep_from,
           msgpack_sbuffer *out)
@@ -518,8 +519,8 @@
     return compact_log(s, index, term, discard);
 }
 
-/* A disk that can't take the hint may still take the log; what the log needs
- * is found out when it is written. */
+/* A separate struct storage keeps an error of this file out of s->failed: a
+ * disk that cannot store the hint may still have space for the log. */
 void
 storage_save_upstreams(struct storage *s, const struct msg *report)
 {
@@ -562,7 +563,6 @@
     memset(f, 0, sizeof(*f));
 }
 
-/* Opening. */
 static struct storage *
 storage_new(const struct storage_options *options)
 {
@@ -637,10 +637,11 @@
     memmove(f->entries, f->entries + n, f->n_entries * sizeof(*f->entries));
 }
 
-/* Power was lost between the rename of the snapshot and that of the log it
- * makes superfluous: the log still begins before the snapshot.  Its entries
- * behind the snapshot are good only if it agrees with it; otherwise the
- * snapshot came from a leader and replaced them. */
+/* Completes a compaction that a power loss interrupted between the rename of
+ * the snapshot and the rename of the compacted log.  The entries after the
+ * snapshot are valid only if the log entry at the snapshot's index has the
+ * snapshot's term; otherwise the snapshot came from a leader and replaced
+ * them. */
 static enum storage_error
 finish_compaction(struct storage *s, struct storage_found *f)
 {
@@ -677,12 +678,12 @@
     if (s->base < snapshot) {
         return finish_compaction(s, f);
     }
-    /* What is kept counts as durable from here on. */
+    /* The entries found may be acknowledged from here on. */
     return sync_log(s) == STORAGE_OK ? append_mark(s) : s->failed;
 }
 
-/* The files in the order that makes a power loss in between harmless: until
- * the identity is there, the folder counts as empty. */
+/* Writes the identity last: a folder without an identity counts as empty, so a
+ * power loss before that is harmless. */
 static enum storage_error
 make_folder(struct storage *s, uint64_t index, uint64_t term,
             struct blob *snapshot)
@@ -707,8 +708,8 @@
     return replace_record(s, IDENTITY, &m);
 }
 
-/* Without an identity a vote or an entry must not be there: somebody lost the
- * identity, and what was voted for stays binding. */
+/* A folder without an identity must hold neither a vote nor an entry.  If it
+ * does, the identity file was lost, and the vote is still binding. */
 static enum storage_error
 check_unused(struct storage *s)
 {
--- a/src/storage.h
+++ b/src/storage.h
@@ -1,20 +1,21 @@
 /**
- * DOC: storage - what a control member must not forget, on its disk
+ * DOC: storage - persistent state of a control member
  *
- * Five files in one data folder.  "identity", "vote" and "snapshot" hold one
- * record each and are replaced whole: written beside, synced, renamed, and the
- * folder synced.  "log" is appended to.  Every record carries its length and a
- * checksum (XXH3, seeded with its place in the file).
+ * The data folder holds five files.  "identity", "vote" and "snapshot" hold
+ * one record each and are replaced atomically: a temporary file is written,
+ * synced and renamed, and then the folder is synced.  "log" is append-only.
+ * Every record carries its length and a checksum (XXH3, seeded with the offset
+ * of the record in the file).
  *
  * After a batch of log records is synced, a mark record is appended and synced
- * too, and only then is the batch acknowledged.  A bad record with a mark
- * behind it was acknowledged once: the disk damaged it, and the start is
- * refused.  A bad record without a mark behind it is a write that power loss
- * cut short and that nobody was told about: it is cut off.
+ * too, and only then is the batch acknowledged.  A bad record that is followed
+ * by a mark was acknowledged, so the disk has damaged it, and opening the
+ * folder fails.  A bad record that is not followed by a mark is a torn write
+ * that was never acknowledged; the log is truncated before it.
  *
- * "upstreams" is a hint alone: which upstreams were there.  Whoever uses it
- * asks them; where it is missing, damaged or old, that costs time and nothing
- * else, so none of it makes a start or a write fail.
+ * "upstreams" is only a hint: the upstreams known at the last save.  Its
+ * reader verifies each of them.  A missing, damaged or stale hint costs only
+ * time, so an error on this file never fails an open or a write.
  */
 #ifndef BM_STORAGE_H
 #define BM_STORAGE_H
@@ -23,38 +24,39 @@
 #include "disk.h"
 #include "wire.h"
 
-/** enum log_kind - of an entry of the log */
+/** enum log_kind - type of a log entry */
 enum log_kind {
-    LOG_KIND_NOOP,    /* a new leader's first */
+    LOG_KIND_NOOP,    /* first entry of a new leader */
     LOG_KIND_PUBLISH, /* MSG_PUBLISH */
     LOG_KIND_MEMBERS, /* MSG_MEMBERSHIP */
-    LOG_KIND_HEADER,  /* in the file only: index and term before the first */
-    LOG_KIND_MARK,    /* in the file only: all before it was synced */
+    LOG_KIND_HEADER,  /* file only: index and term before the first entry */
+    LOG_KIND_MARK,    /* file only: all records before it were synced */
 };
 
 enum storage_error {
     STORAGE_OK,
-    STORAGE_IO,      /* the disk failed an operation */
-    STORAGE_FULL,    /* no room */
-    STORAGE_DAMAGED, /* acknowledged bytes are not what was written */
-    STORAGE_FOREIGN, /* the folder is another member's */
-    STORAGE_EXISTS,  /* the folder is in use already */
+    STORAGE_IO,      /* a disk operation failed */
+    STORAGE_FULL,    /* no space left on the disk */
+    STORAGE_DAMAGED, /* acknowledged data is missing or corrupt */
+    STORAGE_FOREIGN, /* the folder belongs to another member */
+    STORAGE_EXISTS,  /* the folder is already initialized */
     STORAGE_MEMORY,
 };
 
-/** storage_error_text() - in a few words */
+/** storage_error_text() - short description of an error */
 const char *storage_error_text(enum storage_error err);
 
 struct storage;
 
 /**
  * struct storage_options - how to open a data folder
- * @ops: the disk's functions
- * @disk: their first argument
- * @member: whose folder it must be
- * @region: and of which region
- * @new_disk: identity to give the folder if it is empty; random, not 0
- * @skip_mark: for tests of the tests: acknowledge without the mark
+ * @ops: disk functions
+ * @disk: first argument of @ops
+ * @member: member that the folder must belong to
+ * @region: region that the folder must belong to
+ * @new_disk: disk identity for an empty folder; random, not 0
+ * @skip_mark: acknowledge without a mark; only for a test that shows why marks
+ *             are needed
  */
 struct storage_options {
     const struct disk_ops *ops;
@@ -65,10 +67,11 @@
     bool skip_mark;
 };
 
-/** struct storage_found - what a folder held; storage_found_free() it */
+/** struct storage_found - contents of a data folder, to be freed with
+ * storage_found_free() */
 struct storage_found {
-    uint64_t disk; /* identity of the folder */
-    bool made;     /* it was empty and has been made now */
+    uint64_t disk; /* disk identity of the folder */
+    bool made;     /* the folder was empty and has been initialized */
     uint64_t term;
     struct name vote;
     uint64_t snapshot_index; /* 0: no snapshot */
@@ -76,58 +79,62 @@
     struct blob *snapshot;
     struct rec_log_entry *entries; /* after the snapshot, in order */
     size_t n_entries;
-    uint64_t cut;         /* bytes of a torn tail that were cut off */
-    struct msg upstreams; /* MSG_UPSTREAM_REPORT; empty where there is none */
-    bool upstreams_bad;   /* there was one, and it could not be read */
+    uint64_t cut;         /* size in bytes of a torn tail that was removed */
+    struct msg upstreams; /* MSG_UPSTREAM_REPORT; empty if there is no hint */
+    bool upstreams_bad;   /* the hint exists but could not be read */
 };
 
 void storage_found_free(struct storage_found *f);
 
-/** storage_format() - makes an empty folder a founding member's: it starts
- * from that snapshot and has the identity @options->new_disk */
+/** storage_format() - initializes an empty folder for a founding member, with
+ * @snapshot as its state and @options->new_disk as its disk identity.  On an
+ * error @detail (DETAIL_SIZE bytes) names file, offset and cause. */
 enum storage_error storage_format(const struct storage_options *options,
                                   uint64_t index, uint64_t term,
                                   struct blob *snapshot, char *detail);
 
-/** storage_open() - reads a folder, makes an empty one.  On an error @detail
- * (DETAIL_SIZE bytes) names file, offset and cause. */
+/** storage_open() - reads a folder, and initializes it if it is empty.  On an
+ * error @detail (DETAIL_SIZE bytes) names file, offset and cause. */
 enum storage_error storage_open(const struct storage_options *options,
                                 struct storage **out,
                                 struct storage_found *found, char *detail);
 
-/** storage_close() - syncs nothing; NULL is allowed */
+/** storage_close() - does not sync; NULL is allowed */
 void storage_close(struct storage *s);
 
-/* After the first error every call fails with it: what a failed sync left on
- * the disk is unknown, so nothing may be acknowledged any more and the process
- * has to stop. */
+/* After the first error every call returns that error: the state of the disk
+ * after a failed sync is unknown, so no write may be acknowledged and the
+ * process has to stop. */
 
-/** storage_append() - adds entries; durable after storage_sync() */
+/** storage_append() - appends entries, which are durable after storage_sync()
+ */
 enum storage_error storage_append(struct storage *s,
                                   const struct rec_log_entry *entries,
                                   size_t n);
 
-/** storage_truncate() - drops the entries from @index on; durable at once */
+/** storage_truncate() - removes the entries from @index on; durable on return
+ */
 enum storage_error storage_truncate(struct storage *s, uint64_t index);
 
-/** storage_save_vote() - durable at once */
+/** storage_save_vote() - replaces term and vote; durable on return */
 enum storage_error storage_save_vote(struct storage *s, uint64_t term,
                                      struct name vote);
 
-/** storage_save_snapshot() - durable at once; the log keeps the entries behind
- * @index, or none where @discard */
+/** storage_save_snapshot() - replaces the snapshot and compacts the log;
+ * durable on return.  The log keeps the entries after @index, or none if
+ * @discard is set. */
 enum storage_error storage_save_snapshot(struct storage *s, uint64_t index,
                                          uint64_t term, struct blob *state,
                                          bool discard);
 
-/** storage_save_upstreams() - replaces the hint, MSG_UPSTREAM_REPORT, as far
- * as the disk takes it; durable at once */
+/** storage_save_upstreams() - replaces the upstreams hint
+ * (MSG_UPSTREAM_REPORT); durable on return, errors are ignored */
 void storage_save_upstreams(struct storage *s, const struct msg *report);
 
-/** storage_sync() - makes what was appended durable */
+/** storage_sync() - makes the appended entries durable */
 enum storage_error storage_sync(struct storage *s);
 
-/** storage_detail() - of the first error: file, offset, cause */
+/** storage_detail() - file, offset and cause of the first error */
 const char *storage_detail(const struct storage *s);
 
 #endif
