--- a/src/control_dump.c
+++ b/src/control_dump.c
@@ -67,7 +67,8 @@
     return NULL;
 }
 
-/* What a leader knows of a member; others know it of themselves alone. */
+/* Adds the replication progress of a member.  Only a leader knows that of
+ * other members. */
 static void
 add_progress(const struct control *c, json_t *o,
              const struct rec_control_member *m)
--- a/src/control_http.c
+++ b/src/control_http.c
@@ -11,7 +11,7 @@
 #include "stats.h"
 
 enum {
-    /* A configuration in JSON: each character may take up to two. */
+    /* A configuration as a JSON string: escapes may double its size. */
     BODY_MAX = 2 * CONFIG_TEXT_MAX + 65536,
     BODY_START = 4096,
     PATH_MAX_SIZE = 160,
@@ -20,7 +20,7 @@
     NUMBER_DIGITS_MAX = 18,
 };
 
-/* One request, from its headers to its reply. */
+/* State of an HTTP request. */
 struct request {
     struct MHD_Connection *connection;
     struct httpwait wait;
@@ -94,7 +94,7 @@
     return true;
 }
 
-/* Keeps the arguments that are known, for a redirection too. */
+/* Parses the known query arguments and keeps them for a redirection. */
 static enum MHD_Result
 on_argument(void *cls, enum MHD_ValueKind kind, const char *key,
             const char *value)
@@ -156,7 +156,7 @@
     char *body;
 
     if (!control_route_is_write(r->route) || r->size + *n > BODY_MAX) {
-        r->too_large = true; /* read on, and refused at the end */
+        r->too_large = true; /* discard the rest, reject at the end */
         *n = 0;
         return MHD_YES;
     }
@@ -181,7 +181,7 @@
     return MHD_lookup_connection_value(r->connection, MHD_HEADER_KIND, name);
 }
 
-/* Only changes need to be signed. */
+/* Only write requests need a signature. */
 static enum opauth_result
 check_signature(struct control_http *h, struct request *r, const char *method,
                 struct name *publisher)
--- a/src/control_http.h
+++ b/src/control_http.h
@@ -1,8 +1,9 @@
 /**
- * DOC: control_http - the operators' HTTP interface, docs/control-api.md
+ * DOC: control_http - HTTP interface for operators, see docs/control-api.md
  *
- * A good request becomes an event, its connection is suspended, and
- * control_http_reply() resumes it.  Bad and unsigned ones end here.
+ * A valid request becomes an event; its connection is suspended until
+ * control_http_reply() resumes it.  Invalid and unsigned requests are rejected
+ * here.
  */
 #ifndef BM_CONTROL_HTTP_H
 #define BM_CONTROL_HTTP_H
@@ -14,17 +15,18 @@
 
 /**
  * struct control_http_options - how to construct one
- * @listen: IP:PORT; port 0 takes any
- * @threads: of the server
- * @connections: most at a time
- * @idle_timeout_s: after which a silent connection is closed
- * @clock: for signatures
- * @auth: checks changes; must outlive the server
- * @offer: takes an event over; false when it can't, and then it is not taken
- * @gone: the request's client closed its connection
- * @healthy: whether there is a leader and no stop
- * @metrics: IP:PORT for metrics apart from the API; empty for none
- * @ctx: for the callbacks
+ * @listen: IP:PORT; port 0 selects a free port
+ * @threads: number of server threads
+ * @connections: largest number of open connections
+ * @idle_timeout_s: time after which an idle connection is closed
+ * @clock: clock that signatures are checked against
+ * @auth: checks signatures of changes; must outlive the server
+ * @offer: queues an event and takes ownership of it; returns false if the
+ *         queue is full, and the caller keeps the event then
+ * @gone: called when the client of a pending request has disconnected
+ * @healthy: whether a leader is known and this member is not shutting down
+ * @metrics: IP:PORT of a separate listener for metrics; empty for none
+ * @ctx: argument of the callbacks
  */
 struct control_http_options {
     struct address listen;
@@ -43,13 +45,14 @@
 struct control_http;
 
 /**
- * struct control_http_ops - an HTTP interface of control members: ours, or one
- * that speaks a platform's own API
- * @new: starts it; NULL with errno when it can't
- * @reply: answers a request with CE_REPLY or CE_TEXT and takes over what the
- *         effect owns; from any thread
- * @drain: accepts no more, waits until no request is in progress
- * @free: NULL is allowed
+ * struct control_http_ops - an HTTP interface of control members: the default
+ * one, or one that implements the API of a platform
+ * @new: starts the server; NULL with errno set on failure
+ * @reply: answers a request with CE_REPLY or CE_TEXT and takes ownership of
+ *         the effect's data; may be called from any thread
+ * @drain: stops accepting connections and waits until no request is in
+ *         progress, at most timeout_ms
+ * @free: stops the server; NULL is allowed
  */
 struct control_http_ops {
     void *(*new)(const struct control_http_options *o);
@@ -58,27 +61,27 @@
     void (*free)(void *http);
 };
 
-/** control_http_ops() - ours, docs/control-api.md */
+/** control_http_ops() - the default interface, see docs/control-api.md */
 const struct control_http_ops *control_http_ops(void);
 
-/** control_http_new() - starts the server; NULL with errno when it can't */
+/** control_http_new() - starts the server; NULL with errno set on failure */
 struct control_http *control_http_new(const struct control_http_options *o);
 
 /** control_http_reply() - answers a request with CE_REPLY or CE_TEXT and takes
- * over what the effect owns; a request that is gone is no error.  From any
- * thread. */
+ * ownership of the effect's data.  Does nothing if the request has ended; the
+ * caller keeps the effect then.  May be called from any thread. */
 void control_http_reply(struct control_http *h, uint64_t request,
                         struct control_effect *f);
 
-/** control_http_port() - that it listens on */
+/** control_http_port() - port that the server listens on */
 uint16_t control_http_port(const struct control_http *h);
 
-/** control_http_drain() - accepts no more and waits until no request is in
- * progress, at most @timeout_ms */
+/** control_http_drain() - stops accepting connections and waits until no
+ * request is in progress, at most @timeout_ms */
 void control_http_drain(struct control_http *h, int64_t timeout_ms);
 
-/** control_http_free() - requests that still wait get a 503; NULL is allowed
- */
+/** control_http_free() - stops the server; pending requests are answered with
+ * 503; NULL is allowed */
 void control_http_free(struct control_http *h);
 
 #endif
--- a/src/control_runtime.c
+++ b/src/control_runtime.c
@@ -13,11 +13,11 @@
 #include "stats.h"
 
 enum {
-    BATCH = 64,             /* events between looks at the timers */
+    BATCH = 64,             /* events processed between timer checks */
     WAIT_MAX_US = 1000000,  /* longest sleep of the reducer's thread */
-    HOLD_BACK_US = 200,     /* between tries to hand over a message */
-    DRAIN_MS = 2000,        /* for replies to go out at the end */
-    STATE_REQUEST_DUMP = 0, /* the state goes to the log */
+    HOLD_BACK_US = 200,     /* retry interval while the inbox is full */
+    DRAIN_MS = 2000,        /* time limit for pending replies at shutdown */
+    STATE_REQUEST_DUMP = 0, /* request number of a state dump to the log */
 };
 
 struct control_runtime {
@@ -31,7 +31,7 @@
     const struct control_http_ops *http_ops;
     void *http;
     struct peer *peers;
-    struct registry *registry; /* NULL where it serves as none */
+    struct registry *registry; /* NULL if this member is not a registry */
     pthread_t thread;
     bool running;
     atomic_bool healthy;
@@ -48,7 +48,7 @@
               l->detail);
 }
 
-/* Members that the settings did not name yet get a connection too. */
+/* Connects also to members that the settings do not name. */
 static void
 connect_members(struct control_runtime *r, const struct rec_membership *m)
 {
@@ -94,7 +94,7 @@
     }
 }
 
-/* The registry learns of members as connections are made to them. */
+/* Passes membership changes to the registry. */
 static void
 tell_registry(struct control_runtime *r)
 {
@@ -224,7 +224,7 @@
     carry_out_all(r);
 }
 
-/* Whether the registry has taken it. */
+/* Returns whether the registry has processed the mail. */
 static bool
 take_for_registry(struct control_runtime *r, const struct control_mail *m)
 {
@@ -335,8 +335,8 @@
     return atomic_load(&r->healthy) && !atomic_load(&r->stopping);
 }
 
-/* While the inbox is full the thread of peer waits here and reads nothing, so
- * that TCP holds the senders back. */
+/* While the inbox is full, the peer thread waits here and reads nothing, so
+ * that TCP flow control slows the senders down. */
 static void
 on_message(void *ctx, struct name from, struct msg *msg)
 {
@@ -488,7 +488,7 @@
         return err;
     }
     if (!control_recover(&found, self, now_us, &r)) {
-        (void)snprintf(detail, DETAIL_SIZE, "there is no state in it");
+        (void)snprintf(detail, DETAIL_SIZE, "the data folder holds no state");
         err = STORAGE_DAMAGED;
     }
     else {
@@ -547,13 +547,14 @@
     if (found->made) {
         log_event(LOG_WARNING, "data-folder-empty", r->opts.data,
                   r->opts.control.enroll
-                      ? "no vote until the others have caught it up"
+                      ? "no vote until this member has caught up with the "
+                        "leader"
                       : "no vote until an operator adds or replaces this "
                         "member");
     }
     if (found->cut > 0) {
         log_event(LOG_NOTICE, "log-tail-cut", r->opts.data,
-                  "%llu bytes that were never confirmed",
+                  "removed %llu bytes that were never acknowledged",
                   (unsigned long long)found->cut);
     }
     return true;
@@ -567,13 +568,14 @@
 
     if (found->upstreams_bad) {
         log_event(LOG_NOTICE, "upstreams-not-recalled", r->opts.data,
-                  "the file can't be read; each is known when it speaks");
+                  "cannot read the file; upstreams are registered when they "
+                  "announce themselves");
     }
     if (r->registry == NULL || found->upstreams.kind != MSG_UPSTREAM_REPORT) {
         return;
     }
     registry_restore(r->registry, kept, clock_now(r->opts.clock));
-    log_event(LOG_NOTICE, "upstreams-recalled", r->opts.data, "%zu",
+    log_event(LOG_NOTICE, "upstreams-recalled", r->opts.data, "%zu upstreams",
               kept->n_upstreams);
 }
 
@@ -591,7 +593,7 @@
     storage_found_free(&found);
     if (r->control == NULL) {
         log_event(LOG_CRIT, "not-started", r->opts.data,
-                  "the snapshot is not one of this version");
+                  "the snapshot cannot be read by this version");
     }
     return r->control != NULL;
 }
@@ -652,7 +654,8 @@
     }
     r->running = pthread_create(&r->thread, NULL, reducer_run, r) == 0;
     if (!r->running) {
-        log_event(LOG_ERR, "not-started", NULL, "no thread");
+        log_event(LOG_ERR, "not-started", NULL,
+                  "cannot create the reducer's thread");
         control_runtime_free(r);
         return NULL;
     }
@@ -713,8 +716,9 @@
     mailbox_destroy(&r->inbox);
 }
 
-/* The sources of events end before the reducer's thread does, and what it
- * sends into before their owner: nothing is used after it is freed. */
+/* The reducer's thread ends first, because it uses all other modules.  The
+ * HTTP, peer and disk threads end before the inbox that they post to is
+ * destroyed. */
 void
 control_runtime_free(struct control_runtime *r)
 {
--- a/src/control_runtime.h
+++ b/src/control_runtime.h
@@ -1,8 +1,8 @@
 /**
- * DOC: control_runtime - the threads around the control reducer
+ * DOC: control_runtime - threads that run the control reducer
  *
- * One thread owns the reducer; those of HTTP, peer and the disk put events
- * into its mailbox and carry its effects out.
+ * One thread owns the reducer.  The threads of HTTP, peer connections and the
+ * disk post events to its mailbox and execute its effects.
  */
 #ifndef BM_CONTROL_RUNTIME_H
 #define BM_CONTROL_RUNTIME_H
@@ -13,15 +13,15 @@
 
 /**
  * struct control_runtime_options - how to construct one
- * @control: of the reducer; its disk identity is filled in
- * @http: of the server; its callbacks are filled in
- * @peers: of the connections; its callbacks are filled in
- * @clock: for all of them
- * @region: of this member
- * @data: folder of its own
- * @inbox: events that may wait, a power of two
- * @registry: serves as a registry of upstreams, too
- * @http_ops: the HTTP interface; NULL for ours
+ * @control: options of the reducer; the runtime sets the disk identity
+ * @http: options of the HTTP server; the runtime sets the callbacks
+ * @peers: options of the peer connections; the runtime sets the callbacks
+ * @clock: clock of all modules
+ * @region: region of this member
+ * @data: path of the data folder, used by this member only
+ * @inbox: capacity of the event queue, a power of two
+ * @registry: whether this member is also a registry of upstreams
+ * @http_ops: HTTP interface; NULL for control_http_ops()
  */
 struct control_runtime_options {
     struct control_options control;
@@ -37,46 +37,48 @@
 
 struct control_runtime;
 
-/** control_runtime_found() - makes the data folder that of a founding member;
- * false with the reason logged */
+/** control_runtime_found() - initializes the data folder of a founding member;
+ * returns false and logs the reason on an error */
 bool control_runtime_found(const struct control_runtime_options *o,
                            const struct rec_membership *members);
 
-/** control_runtime_found_once() - the same, where the folder is not in use
- * yet; true where it is */
+/** control_runtime_found_once() - like control_runtime_found(), but returns
+ * true if the folder is already initialized */
 bool control_runtime_found_once(const struct control_runtime_options *o,
                                 const struct rec_membership *members);
 
-/** control_runtime_contact() - a process that may be a member: it is connected
- * to, and asked where a leader is not heard */
+/** control_runtime_contact() - adds a process that may be a member: opens a
+ * connection, and queries the process while no leader is known */
 void control_runtime_contact(struct control_runtime *r, struct name name,
                              struct address address);
 
-/** control_runtime_recover() - makes this member, with what its data folder
- * holds, the only one of its region; false with the reason logged */
+/** control_runtime_recover() - makes this member the only one of its region,
+ * with the state in its data folder; returns false and logs the reason on an
+ * error */
 bool control_runtime_recover(const struct control_runtime_options *o,
                              const struct rec_control_member *self);
 
-/** control_runtime_new() - reads the data folder and starts all threads; NULL
- * with the reason logged */
+/** control_runtime_new() - reads the data folder and starts all threads;
+ * returns NULL and logs the reason on an error */
 struct control_runtime *
 control_runtime_new(const struct control_runtime_options *o);
 
-/** control_runtime_dump() - has the whole state logged */
+/** control_runtime_dump() - requests that the state is written to the log */
 void control_runtime_dump(struct control_runtime *r);
 
-/** control_runtime_stop() - begins a planned stop: health says no at once, a
- * leader hands over */
+/** control_runtime_stop() - begins a planned shutdown: the health check fails
+ * at once, and a leader transfers leadership */
 void control_runtime_stop(struct control_runtime *r);
 
-/** control_runtime_stopped() - whether nothing is in progress any more */
+/** control_runtime_stopped() - whether the planned shutdown has finished */
 bool control_runtime_stopped(const struct control_runtime *r);
 
-/** control_runtime_failed() - the disk failed; the process must end */
+/** control_runtime_failed() - whether the disk failed; the process must exit
+ * then */
 bool control_runtime_failed(const struct control_runtime *r);
 
-/** control_runtime_free() - lets replies go out, then ends the threads; NULL
- * is allowed */
+/** control_runtime_free() - waits for pending replies for a limited time, then
+ * ends the threads; NULL is allowed */
 void control_runtime_free(struct control_runtime *r);
 
 #endif
--- a/src/control_settings.c
+++ b/src/control_settings.c
@@ -7,8 +7,8 @@
 
 enum { INBOX = 4096 };
 
-/* Keys of [limits] that go straight into an option struct, in its unit:
- * LIMIT(key, unit, min, max, default, member, factor, help). */
+/* Keys of [limits] that set a member of an option struct, multiplied by
+ * factor: LIMIT(key, unit, min, max, default, member, factor, help). */
 /* clang-format off */
 #define LIMIT_LIST(LIMIT)                                                     \
     LIMIT("election_ms", "ms", 100, 60000, "2000",                            \
@@ -125,7 +125,8 @@
     }
 }
 
-/* Entry instances dial; they are not dialed. */
+/* Entry instances connect to control members, so their addresses stay empty.
+ */
 static void
 read_instances(struct control_settings *s)
 {
