--- a/src/configdiff.c
+++ b/src/configdiff.c
@@ -5,8 +5,8 @@
 
 #include "servicekey.h"
 
-/* Sections of one kind on both sides, as arrays sorted by name whose elements
- * begin with the name. */
+/* Sections of one kind in one configuration: an array sorted by name, whose
+ * elements begin with a struct name. */
 struct side {
     const char *items;
     size_t n;
@@ -73,7 +73,7 @@
     }
 }
 
-/* Both sides are sorted, so one pass finds what is on one side alone. */
+/* Merges the two sorted arrays in one pass. */
 static void
 compare_sides(const struct servicekey_section *section,
               const struct side *from, const struct side *to, FILE *out,
--- a/src/control_runtime.c
+++ b/src/control_runtime.c
@@ -208,14 +208,16 @@
     switch (registry_announce(r->registry, u, now)) {
     case REGISTRY_CHANGED:
         log_event(LOG_INFO, "upstream-announced", u->upstream.s,
-                  "%s in %s at %s, life %llu, sequence %llu%s%s", u->service.s,
-                  u->zone.s, u->address.s, (unsigned long long)u->born_ms,
+                  "%s in %s at %s, incarnation %llu, sequence %llu%s%s",
+                  u->service.s, u->zone.s, u->address.s,
+                  (unsigned long long)u->born_ms,
                   (unsigned long long)u->sequence,
                   u->leaving ? ", leaving" : "", u->gone ? ", gone" : "");
         break;
     case REGISTRY_STALE:
         log_event(LOG_INFO, "announcement-stale", u->upstream.s,
-                  "life %llu, sequence %llu", (unsigned long long)u->born_ms,
+                  "incarnation %llu, sequence %llu",
+                  (unsigned long long)u->born_ms,
                   (unsigned long long)u->sequence);
         break;
     default:
--- a/src/control_settings.c
+++ b/src/control_settings.c
@@ -12,59 +12,61 @@
 /* clang-format off */
 #define LIMIT_LIST(LIMIT)                                                     \
     LIMIT("election_ms", "ms", 100, 60000, "2000",                            \
-        control.election_timeout_us, USEC_PER_MSEC,                                   \
-        "silence of the leader after which there is an election")             \
+        control.election_timeout_us, USEC_PER_MSEC,                           \
+        "time without a message of the leader that starts an election")       \
     LIMIT("heartbeat_ms", "ms", 20, 10000, "500",                             \
-        control.heartbeat_interval_us, USEC_PER_MSEC, "between heartbeats")            \
+        control.heartbeat_interval_us, USEC_PER_MSEC,                         \
+        "interval of heartbeats")                                             \
     LIMIT("request_ms", "ms", 100, 60000, "10000",                            \
-        control.request_timeout_us, USEC_PER_MSEC,                                    \
-        "a change not committed by then is answered as unknown")              \
+        control.request_timeout_us, USEC_PER_MSEC,                            \
+        "time to commit a change; later its outcome is answered as unknown")  \
     LIMIT("stop_ms", "ms", 0, 60000, "5000",                                  \
-        control.stop_timeout_us, USEC_PER_MSEC, "longest planned stop")               \
+        control.stop_timeout_us, USEC_PER_MSEC,                               \
+        "time limit of a planned stop")                                       \
     LIMIT("follower_s", "s", 5, 86400, "60",                                  \
-        control.follower_timeout_us, USEC_PER_SEC,                                    \
-        "an entry instance not heard for so long is forgotten")               \
+        control.follower_timeout_us, USEC_PER_SEC,                            \
+        "time without a message that removes an entry instance")              \
     LIMIT("snapshot_entries", "entries", 16, 65536, "256",                    \
-        control.snapshot_entries, 1, "applied since the last snapshot")       \
+        control.snapshot_entries, 1, "applied entries between snapshots")     \
     LIMIT("history", "publications", 64, 8192, "4096",                        \
         control.limits.publications, 1,                                       \
-        "kept with their request ids")                                        \
+        "publications kept with their request ids")                           \
     LIMIT("texts", "versions", 1, 256, "16",                                  \
-        control.limits.texts, 1, "whose text is kept")                        \
+        control.limits.texts, 1, "newest versions whose text is kept")        \
     LIMIT("http_threads", "threads", 1, 16, "1",                              \
-        http.threads, 1, "of the HTTP server")                                \
+        http.threads, 1, "threads of the HTTP server")                        \
     LIMIT("http_connections", "connections", 4, 65536, "256",                 \
-        http.connections, 1, "of operators, at a time")                       \
+        http.connections, 1, "open HTTP connections of operators")            \
     LIMIT("idle_timeout_s", "s", 1, 3600, "30",                               \
-        http.idle_timeout_s, 1, "a silent HTTP connection")                   \
+        http.idle_timeout_s, 1, "time until an idle connection is closed")    \
     LIMIT("peer_buffer_mb", "MiB", 1, 1024, "32",                             \
-        peers.send_max, 1 << 20, "that may wait for a process")
+        peers.send_max, 1 << 20, "unsent data for one process")
 /* clang-format on */
 
 static const struct setting table[] = {
     {"control", "name", SETTING_NAME, true, NULL, 0, 0, NULL, NULL,
-     "of this member"},
+     "name of this member"},
     {"control", "region", SETTING_NAME, true, NULL, 0, 0, NULL, NULL,
-     "whose configuration this is; the same on all members"},
+     "region whose configuration is kept; the same on all members"},
     {"control", "listen_http", SETTING_ADDRESS, true, NULL, 0, 0, NULL, NULL,
-     "where operators connect"},
+     "address for HTTP connections of operators"},
     {"control", "listen_peer", SETTING_ADDRESS, true, NULL, 0, 0, NULL, NULL,
-     "where other members and entry instances connect"},
+     "address for connections of other members and entry instances"},
     {"control", "data", SETTING_TEXT, true, NULL, 1, 180, NULL, NULL,
-     "folder on a disk that is this member's own"},
+     "data folder, on a disk used by this member only"},
     {"control", "operators", SETTING_TEXT, true, NULL, 1, 180, NULL, NULL,
-     "file of those who may change anything"},
+     "file of the operators who may make changes"},
     {"control", "auth_window_s", SETTING_INT, false, "s", 1, 3600, "60", NULL,
-     "how far a signature's time may be off"},
+     "largest difference of a signature's time to the clock"},
     {"control", "log_level", SETTING_CHOICE, false, NULL, 0, 0, "info",
      "emerg|alert|crit|err|warning|notice|info|debug",
-     "least severe lines that are logged"},
+     "lowest severity that is logged"},
     {"member *", "address", SETTING_ADDRESS, true, NULL, 0, 0, NULL, NULL,
-     "listen_peer of a member, also of this one"},
+     "listen_peer of the member; this member needs a section too"},
     {"member *", "http", SETTING_ADDRESS, true, NULL, 0, 0, NULL, NULL,
-     "its listen_http, for redirections"},
+     "listen_http of the member, for redirections"},
     {"instance *", "zone", SETTING_NAME, true, NULL, 0, 0, NULL, NULL,
-     "availability zone of an entry instance that may ask here"},
+     "availability zone of an entry instance that may connect"},
 #define LIMIT(key, unit, min, max, fallback, member, factor, help)            \
     {"limits", key, SETTING_INT, false, unit, min, max, fallback, NULL, help},
     LIMIT_LIST(LIMIT)
--- a/src/publish.c
+++ b/src/publish.c
@@ -42,8 +42,8 @@
     if (reply->error == FETCH_OK && reply->status == 409) {
         return PUBLISH_TAKEN;
     }
-    /* A refusal is about this request; an earlier one that went unanswered
-     * may have been accepted all the same. */
+    /* An error status applies to this attempt only; an earlier attempt that
+     * was not answered may have been accepted. */
     if (unknown) {
         return PUBLISH_UNKNOWN;
     }
@@ -63,7 +63,7 @@
     a.version = number_of(json, "version");
     a.resend = json_is_true(json_object_get(json, "resend"));
     if (a.end == PUBLISH_ACCEPTED && a.version == 0) {
-        a.end = PUBLISH_UNKNOWN; /* 200 from something that is no bm-control */
+        a.end = PUBLISH_UNKNOWN; /* 200 from a server other than bm-control */
     }
     if (a.end == PUBLISH_TAKEN) {
         describe_winner(json, &a);
--- a/src/publish.h
+++ b/src/publish.h
@@ -1,7 +1,7 @@
 /**
- * DOC: publish - what the answers to a publication mean
+ * DOC: publish - interprets bm-control's answers to a publication
  *
- * Pure readers of bm-control's JSON; docs/control-api.md is their source.
+ * Pure functions on the JSON that docs/control-api.md describes.
  */
 #ifndef BM_PUBLISH_H
 #define BM_PUBLISH_H
@@ -10,28 +10,30 @@
 
 #include "fetch.h"
 
-/** enum publish_end - how a publication ended */
+/** enum publish_end - outcome of a publication */
 enum publish_end {
     PUBLISH_ACCEPTED,    /* durable on a majority */
-    PUBLISH_TAKEN,       /* somebody else published from this base first */
-    PUBLISH_REFUSED,     /* nothing was changed, and trying again is no use */
-    PUBLISH_UNREACHABLE, /* nothing was changed: nobody took it */
+    PUBLISH_TAKEN,       /* another publication replaced the base first */
+    PUBLISH_REFUSED,     /* nothing was changed; a retry would fail again */
+    PUBLISH_UNREACHABLE, /* nothing was changed: no member accepted it */
     PUBLISH_UNKNOWN,     /* may be accepted; resend the same request id */
 };
 
-/** struct publish_answer - what was told */
+/** struct publish_answer - content of an answer */
 struct publish_answer {
     enum publish_end end;
-    uint64_t version; /* accepted, or in force now; 0 when not told */
+    uint64_t version; /* accepted, or in force now; 0 if not in the answer */
     bool resend;      /* accepted by an earlier request with this id */
     char detail[DETAIL_SIZE];
 };
 
-/** publish_read() - @unknown says that some attempt ended without a word */
+/** publish_read() - interprets a reply; @unknown: an attempt with this request
+ * id ended without an answer */
 struct publish_answer publish_read(const struct fetch_reply *reply,
                                    bool unknown);
 
-/** struct publish_laggard - an instance without the version in force */
+/** struct publish_laggard - an entry instance that does not have the version
+ * yet; @heard_ms is the time since its last message */
 struct publish_laggard {
     char instance[NAME_SIZE];
     char zone[NAME_SIZE];
@@ -39,15 +41,15 @@
     int64_t heard_ms;
 };
 
-/** struct publish_reach - how far a version has come */
+/** struct publish_reach - roll-out of a version to entry instances */
 struct publish_reach {
-    bool known; /* it was read from a status */
+    bool known; /* the status lists the instances */
     size_t in_force;
     size_t lagging;
 };
 
-/** publish_laggards() - reads a status and lists up to @room instances that
- * are below @version */
+/** publish_laggards() - reads a status, counts the instances with and without
+ * @version, and writes up to @room of those without it to @out */
 struct publish_reach publish_laggards(const json_t *status, uint64_t version,
                                       struct publish_laggard *out,
                                       size_t room);
--- a/src/queueconf.c
+++ b/src/queueconf.c
@@ -29,7 +29,7 @@
     return false;
 }
 
-/* An element of the array that is sorted. */
+/* Element of the array that unique_routes() sorts. */
 struct queue_ref {
     const struct queue_conf *queue;
 };
@@ -44,7 +44,8 @@
     return hosts != 0 ? hosts : strcmp(x->prefix, y->prefix);
 }
 
-/* By sorting: hundreds of queues are usual, and changes come in series. */
+/* Sorts instead of comparing all pairs: configurations have hundreds of queues
+ * and are checked often when changes come in series. */
 static bool
 places_differ(const struct queueconf *c)
 {
--- a/src/queueconf.h
+++ b/src/queueconf.h
@@ -1,9 +1,9 @@
 /**
- * DOC: queueconf - the configuration of queues that brokers serve
+ * DOC: queueconf - configuration of the queues that brokers serve
  *
- * A queue is where callers of one kind hand in jobs: a host and a path prefix
- * lead to it, and it names the service whose upstreams run its tasks.  A
- * configuration is a whole; brokers replace it as one.
+ * Callers submit jobs to a queue, which is selected by the host and the path
+ * prefix of the request.  A queue names the service whose upstreams run its
+ * tasks.  Brokers replace a configuration only as a whole.
  */
 #ifndef BM_QUEUECONF_H
 #define BM_QUEUECONF_H
@@ -11,21 +11,22 @@
 #include "base.h"
 
 enum {
-    HOST_SIZE = 128,   /* of a queue's host, with terminator, bytes */
-    PREFIX_SIZE = 128, /* of its path prefix, likewise */
+    HOST_SIZE = 128,   /* a queue's host with terminator, bytes */
+    PREFIX_SIZE = 128, /* a queue's path prefix with terminator, bytes */
 };
 
 /**
  * struct queue_conf - one queue
- * @name: of the queue
- * @host: of requests to it, compared without regard to case
- * @prefix: of their path; the longest that fits wins
- * @service: whose upstreams run its tasks
- * @priority: 0 is served first
- * @attempts: failed runs after which a task, and its job, has failed; 1 and up
- * @timeout_us: an answer takes no longer
- * @target_us: objective for the answer beyond the work itself
- * @stretch: objective for the work, as a multiple of its longest chain
+ * @name: name of the queue
+ * @host: host of its requests, compared case-insensitively
+ * @prefix: path prefix of its requests; the longest matching prefix is used
+ * @service: service whose upstreams run its tasks
+ * @priority: 0 is the highest priority
+ * @attempts: failed runs after which a task and its job fail; at least 1
+ * @timeout_us: time limit for the answer to a job
+ * @target_us: objective for the response time in excess of the work itself
+ * @stretch: objective for the time of the work, as a multiple of the longest
+ *           chain of the job's tasks
  */
 struct queue_conf {
     struct name name;
@@ -40,9 +41,10 @@
 };
 
 /**
- * struct queue_service - a service that queues name
- * @name: of the service
- * @guarded: its upstreams refuse what does not fit; else the sender must count
+ * struct queue_service - a service that queues refer to
+ * @name: name of the service
+ * @guarded: upstreams reject tasks beyond their capacity; if not set, the
+ *           sender must keep count of their free capacity
  */
 struct queue_service {
     struct name name;
@@ -51,8 +53,12 @@
 
 /**
  * struct queueconf - a configuration
- * @rank: its operator's number; the highest is in force
- * @body_max: bytes of a job
+ * @rank: number assigned by the operator; the highest one is in force
+ * @queues: the queues
+ * @n_queues: number of @queues
+ * @services: services of the queues
+ * @n_services: number of @services
+ * @body_max: largest body of a job, bytes
  */
 struct queueconf {
     uint64_t rank;
@@ -63,23 +69,23 @@
     size_t body_max;
 };
 
-/** enum queueconf_fault - why a configuration can't be in force */
+/** enum queueconf_fault - why a configuration is invalid */
 enum queueconf_fault {
     QUEUECONF_OK,
-    QUEUECONF_UNREADABLE,      /* not whole, or a field of another type */
-    QUEUECONF_UNKNOWN_SERVICE, /* a queue names a service that is not there */
-    QUEUECONF_SAME_PLACE,      /* two queues share host and prefix */
-    QUEUECONF_NO_TIMEOUT,      /* a timeout of 0 */
+    QUEUECONF_UNREADABLE,      /* incomplete, or a field has a wrong type */
+    QUEUECONF_UNKNOWN_SERVICE, /* a queue names an undefined service */
+    QUEUECONF_SAME_PLACE,      /* two queues have the same host and prefix */
+    QUEUECONF_NO_TIMEOUT,      /* the timeout of a queue is 0 */
 };
 
-/** queueconf_fault_text() - in a few words */
+/** queueconf_fault_text() - short description of a fault */
 const char *queueconf_fault_text(enum queueconf_fault f);
 
-/** queueconf_check() - whether it can be in force */
+/** queueconf_check() - validates a configuration */
 enum queueconf_fault queueconf_check(const struct queueconf *c);
 
-/** queueconf_find() - the queue of a request, or NULL.  @path is the URL's; a
- * port behind @host is ignored. */
+/** queueconf_find() - the queue that serves a request, or NULL.  @path is the
+ * path of the URL; a port in @host is ignored. */
 const struct queue_conf *queueconf_find(const struct queueconf *c,
                                         const char *host, const char *path);
 
--- a/src/queueconf_wire.c
+++ b/src/queueconf_wire.c
@@ -5,7 +5,7 @@
 
 #include "wire.h"
 
-/* A queue's stretch travels in parts of this. */
+/* Unit of rec_queue.stretch_ppm. */
 static const double STRETCH_UNIT = 1e-6;
 
 static struct rec_queue
--- a/src/queueconf_wire.h
+++ b/src/queueconf_wire.h
@@ -1,8 +1,8 @@
 /**
- * DOC: queueconf_wire - configurations of queues between processes
+ * DOC: queueconf_wire - binary encoding of queue configurations
  *
- * What control was given is read and checked there, once.  Brokers get it in
- * this form, which takes them a small part of the time.
+ * Control parses and checks a published text once.  Brokers get the
+ * configuration in this encoding, which is much faster to read than the text.
  */
 #ifndef BM_QUEUECONF_WIRE_H
 #define BM_QUEUECONF_WIRE_H
@@ -10,11 +10,12 @@
 #include "blob.h"
 #include "queueconf.h"
 
-/** queueconf_encode() - NULL when memory is out */
+/** queueconf_encode() - encodes a configuration; NULL if out of memory */
 struct blob *queueconf_encode(const struct queueconf *c);
 
-/** queueconf_decode() - NULL with *@fault where it can't be read.  Whether it
- * can be in force was checked before it was encoded. */
+/** queueconf_decode() - decodes a configuration, to be freed with
+ * queueconf_free().  Returns NULL and sets *@fault if @data is malformed. Does
+ * not call queueconf_check(): configurations are checked before encoding. */
 struct queueconf *queueconf_decode(const char *data, size_t size,
                                    enum queueconf_fault *fault);
 
--- a/src/served_text.c
+++ b/src/served_text.c
@@ -5,7 +5,8 @@
 #include "delta.h"
 #include "textpack.h"
 
-/* One that can't be rendered goes as it is: followers refuse it and say so. */
+/* A text that cannot be rendered is served unchanged: followers reject it and
+ * report the error. */
 static struct blob *
 render(const struct served_texts *s, struct blob *text)
 {
@@ -14,7 +15,7 @@
     return rendered != NULL ? rendered : blob_ref(text);
 }
 
-/* NULL for none. */
+/* Returns a reference to the rendered text, or NULL if @p is none. */
 static struct blob *
 rendered_text(struct served_texts *s, struct published_text p)
 {
--- a/src/served_text.h
+++ b/src/served_text.h
@@ -1,35 +1,39 @@
 /**
- * DOC: served_text - published texts as followers get them
+ * DOC: served_text - published texts in the form that is sent to followers
  *
- * Rendered for the followers, packed against what they have, and kept, since
- * all followers ask for the same.
+ * A text is rendered for the followers and packed as a difference to the
+ * version that a follower has.  The results are cached, because all followers
+ * request the same ones.
  */
 #ifndef BM_SERVED_TEXT_H
 #define BM_SERVED_TEXT_H
 
 #include "wire.h"
 
-/** control_render - what followers get of a published text; NULL where it
- * can't be read */
+/** control_render - converts a published text to the form that followers get;
+ * returns NULL if the text cannot be parsed */
 typedef struct blob *control_render(const struct blob *text);
 
-enum { SERVED_TEXTS = 2 }; /* the newest, and the one before */
+enum {
+    SERVED_TEXTS = 2
+}; /* cache size: the newest version and the previous */
 
-/** struct published_text - a version and its text, which is not owned; both
+/** struct published_text - a version and its text, which is not owned; all
  * zero for none */
 struct published_text {
     uint64_t version;
     struct blob *text;
 };
 
-/** struct rendered_text - what followers get of version @version */
+/** struct rendered_text - rendered text of version @version */
 struct rendered_text {
     uint64_t version;
     struct blob *text;
 };
 
-/** struct packed_text - that of version @version, packed against that of
- * @from, which is 0 for none; @digest is of the text */
+/** struct packed_text - rendered text of version @version, packed as a
+ * difference to that of version @from (0: packed on its own); @digest is the
+ * digest of the unpacked text */
 struct packed_text {
     uint64_t version;
     uint64_t from;
@@ -38,8 +42,13 @@
 };
 
 /**
- * struct served_texts - the kept ones; zeroed at first
- * @render: NULL where followers get texts as they were published
+ * struct served_texts - cache of rendered and packed texts; initialized to
+ * zero
+ * @render: renders a text; NULL if followers get texts as published
+ * @rendered: rendered texts
+ * @next_rendered: element of @rendered that is replaced next
+ * @packed: packed texts
+ * @next_packed: element of @packed that is replaced next
  */
 struct served_texts {
     control_render *render;
@@ -49,7 +58,8 @@
     size_t next_packed;
 };
 
-/** served_text_fill() - @newest into a reply, for a follower that has @base */
+/** served_text_fill() - fills a reply with @newest, for a follower that has
+ * @base; the reply gets a reference to the data */
 void served_text_fill(struct served_texts *s, struct published_text newest,
                       struct published_text base, struct rec_config_reply *r);
 
--- a/src/service.h
+++ b/src/service.h
@@ -1,15 +1,15 @@
 /**
- * DOC: service - the configuration of services and teams
+ * DOC: service - configuration of services and teams
  *
- * A configuration is a whole: one version, all services, all teams.  Entry
- * reducers apply only a version above the one they have.
+ * A configuration has one version and holds all services and all teams.  Entry
+ * reducers apply only a version higher than their current one.
  */
 #ifndef BM_SERVICE_H
 #define BM_SERVICE_H
 
 #include "base.h"
 
-/** enum queue_order - in which order queued tasks are placed */
+/** enum queue_order - order in which queued tasks are placed */
 enum queue_order {
     ORDER_LEAST_WORK, /* least remaining work first, with ageing */
     ORDER_ARRIVAL,
@@ -18,20 +18,21 @@
 
 /**
  * struct service_conf - one service
- * @name: of the service
- * @team: that owns it
- * @need: default needs of a task
- * @run_us: expected run time of a task until it is learned
+ * @name: name of the service
+ * @team: team that owns the service
+ * @need: resources that a task needs by default
+ * @run_us: expected run time of a task until there is an estimate
  * @deadline_us: default deadline of a job, from submission
- * @deadline_max_us: the longest a job may ask for
- * @idempotent: default for its jobs
- * @max_tasks: tasks a job may have, 1 to JOB_TASKS_MAX
- * @max_queued: tasks that may wait at one instance
+ * @deadline_max_us: longest deadline that a job may request
+ * @idempotent: default of the idempotent flag of a job
+ * @max_tasks: tasks that a job may have, 1 to JOB_TASKS_MAX
+ * @max_queued: tasks that may be queued at one instance
  * @max_running: tasks running in the region at a time; 0 is no limit
- * @spill: may use other zones' upstreams when its own zone is full
- * @order: of its queue
- * @zones: where it runs; none means everywhere
- * @n_zones: of @zones
+ * @spill: tasks may run on upstreams of other zones when their own zone is
+ * full
+ * @order: order of the queue
+ * @zones: availability zones where the service runs; none means all
+ * @n_zones: number of @zones
  */
 struct service_conf {
     struct name name;
@@ -51,11 +52,11 @@
 };
 
 /**
- * struct team_conf - one team's quotas, in the whole region
- * @name: of the team
+ * struct team_conf - quotas of a team in the whole region
+ * @name: name of the team
  * @max_running: tasks running at a time; 0 is no limit
- * @starts_per_s: task starts a second; 0 is no limit
- * @weight: its fair share against other teams, 1 and up
+ * @starts_per_s: task starts per second; 0 is no limit
+ * @weight: weight of the team's fair share, at least 1
  */
 struct team_conf {
     struct name name;
@@ -64,7 +65,7 @@
     uint32_t weight;
 };
 
-/** struct config - the configuration in force */
+/** struct config - a configuration; services and teams are sorted by name */
 struct config {
     uint64_t version;
     struct service_conf *services;
@@ -73,17 +74,18 @@
     size_t n_teams;
 };
 
-/** config_copy() - a deep copy, to be freed with config_free() */
+/** config_copy() - a deep copy, to be freed with config_free(); NULL if out of
+ * memory */
 struct config *config_copy(const struct config *c);
 
 /** config_free() - NULL is allowed */
 void config_free(struct config *c);
 
-/** config_service() - the service of that name, or NULL */
+/** config_service() - finds a service by name, or returns NULL */
 const struct service_conf *config_service(const struct config *c,
                                           struct name name);
 
-/** config_team() - the team of that name, or NULL */
+/** config_team() - finds a team by name, or returns NULL */
 const struct team_conf *config_team(const struct config *c, struct name name);
 
 #endif
--- a/src/servicefile.c
+++ b/src/servicefile.c
@@ -12,13 +12,13 @@
 
 enum { RANGE_SIZE = 64 };
 
-/* A section as read, with the place that errors about it name. */
+/* A parsed section, with its file and line for error messages. */
 struct section {
     const struct servicekey_section *kind;
     struct name name;
     char *file;
     int line;
-    uint32_t seen; /* bit per key */
+    uint32_t seen; /* bit i: key i is set in the file */
     union {
         struct service_conf service;
         struct team_conf team;
@@ -31,10 +31,10 @@
     size_t n;
     size_t room;
     const char *file;
-    const char *rest; /* of the text that is being read */
+    const char *rest; /* unread part of the text */
     int line;
-    bool skipping; /* inside a section that was refused */
-    bool opened;   /* a section was seen in this file */
+    bool skipping; /* inside a rejected section */
+    bool opened;   /* this file has begun a section */
     bool out_of_memory;
 };
 
@@ -74,8 +74,6 @@
     memset(errs, 0, sizeof(*errs));
 }
 
-/* Sections. */
-
 static const struct servicekey_section *
 section_kind_of(const char *title, const char **name)
 {
@@ -198,9 +196,8 @@
     return 1;
 }
 
-/* Reading.  libinih tells its handler no line numbers and nothing of sections
- * without keys; its reader sees each line first, so both are noted there. */
-
+/* libinih passes neither line numbers nor sections without keys to the value
+ * handler, so read_line(), which gets each line first, records both. */
 static void
 note_section(struct loader *l, const char *line)
 {
@@ -259,7 +256,7 @@
     return out;
 }
 
-/* The longest line is a variable of the whole process in libinih. */
+/* Guards ini_max_line, a global variable of libinih. */
 static pthread_mutex_t ini_lock = PTHREAD_MUTEX_INITIALIZER;
 
 static void
@@ -287,8 +284,6 @@
     }
 }
 
-/* Checks of the whole. */
-
 static struct section *
 find_section(struct loader *l, const struct servicekey_section *kind,
              struct name name, size_t before)
@@ -338,9 +333,10 @@
     }
 }
 
-/* A team's section may stand beside each of its services.  If two of them
- * differed, which one is in force would depend on the order of the files, and
- * the team would notice by refusals that no file explains. */
+/* A team may be defined in several files, next to each of its services.  The
+ * definitions must be equal: otherwise the order of the files would decide
+ * which quotas are in force, and tasks could be rejected for a quota that the
+ * team's own file does not show. */
 static void
 check_team(struct loader *l, size_t index)
 {
@@ -504,8 +500,6 @@
     return servicefile_load(&dir, 1, errs);
 }
 
-/* Canonical text. */
-
 static void
 print_section(FILE *f, const struct servicekey_section *kind, struct name name,
               const void *conf)
--- a/src/servicekey.c
+++ b/src/servicekey.c
@@ -105,8 +105,7 @@
     return true;
 }
 
-/* Values.  Each parser stores the value in the section's struct and says
- * whether the text was allowed. */
+/* The parsers below return false if the text is not allowed. */
 
 static bool
 parse_whole(const char *text, int64_t least, int64_t most, int64_t *out)
--- a/src/servicekey.h
+++ b/src/servicekey.h
@@ -1,5 +1,5 @@
 /**
- * DOC: servicekey - the keys of service files and their values
+ * DOC: servicekey - keys of service files and their values
  */
 #ifndef BM_SERVICEKEY_H
 #define BM_SERVICEKEY_H
@@ -8,10 +8,10 @@
 
 #include "service.h"
 
-/* Every key once, in the order of the canonical text:
- * KEY(name, kind, member, least, most, default, unit, what it means).
- * Bounds are in the unit of the file; for CPUS in thousandths.  A default of
- * NULL makes the key required. */
+/* All keys, in the order of the canonical text:
+ * KEY(name, kind, member, least, most, default, unit, description).
+ * Bounds are in the unit of the file, those of MILLI keys in thousandths.  A
+ * default of NULL makes the key required. */
 /* clang-format off */
 #define SERVICE_KEY_LIST(KEY)                                                 \
     KEY("team", NAME, team, 1, NAME_SIZE - 1, NULL, "name",                   \
@@ -70,7 +70,7 @@
 struct servicekey {
     const char *name;
     enum servicekey_kind kind;
-    size_t offset; /* of the member in service_conf or team_conf */
+    size_t offset; /* offset of the member in service_conf or team_conf */
     int64_t least;
     int64_t most;
     const char *def;
@@ -78,8 +78,8 @@
     const char *text;
 };
 
-/** struct servicekey_section - one kind of section: what it is called and
- * which keys it has, in the order of the canonical text */
+/** struct servicekey_section - one kind of section: its keyword and its keys,
+ * in the order of the canonical text */
 struct servicekey_section {
     const char *word;
     const struct servicekey *keys;
@@ -89,18 +89,21 @@
 extern const struct servicekey_section servicekey_services;
 extern const struct servicekey_section servicekey_teams;
 
-/** servicekey_range() - writes what a key allows, as in docs and errors */
+/** servicekey_range() - writes the allowed values of a key, as shown in docs
+ * and error messages */
 void servicekey_range(const struct servicekey *key, char *out, size_t size);
 
-/** servicekey_name_valid() - 1 to NAME_SIZE - 1 of A-Z a-z 0-9 . _ - */
+/** servicekey_name_valid() - whether @text is a valid name: 1 to NAME_SIZE - 1
+ * characters of A-Z a-z 0-9 . _ - */
 bool servicekey_name_valid(const char *text);
 
-/** servicekey_parse() - stores a value in a service_conf or team_conf; false
- * when the key does not allow it */
+/** servicekey_parse() - parses a value and stores it in the service_conf or
+ * team_conf @conf; false if the value is not allowed */
 bool servicekey_parse(const struct servicekey *key, const char *text,
                       void *conf);
 
-/** servicekey_print() - writes a value as servicekey_parse() reads it */
+/** servicekey_print() - writes a value in the form that servicekey_parse()
+ * reads */
 void servicekey_print(FILE *f, const struct servicekey *key, const void *conf);
 
 #endif
