--- a/src/configdiff.c
+++ b/src/configdiff.c
@@ -7,22 +7,22 @@
 
 /* Sections of one kind in one configuration: an array sorted by name, whose
  * elements begin with a struct name. */
-struct side {
+struct section_array {
     const char *items;
     size_t n;
     size_t size;
 };
 
 static const void *
-item_at(const struct side *side, size_t i)
+item_at(const struct section_array *section_array, size_t i)
 {
-    return side->items + i * side->size;
+    return section_array->items + i * section_array->size;
 }
 
 static const char *
-name_at(const struct side *side, size_t i)
+name_at(const struct section_array *section_array, size_t i)
 {
-    return ((const struct name *)item_at(side, i))->s;
+    return ((const struct name *)item_at(section_array, i))->s;
 }
 
 static char *
@@ -65,8 +65,8 @@
 }
 
 static void
-print_one(char sign, const struct servicekey_section *section,
-          const char *name, FILE *out)
+print_section(char sign, const struct servicekey_section *section,
+              const char *name, FILE *out)
 {
     if (out != NULL) {
         (void)fprintf(out, "%c [%s %s]\n", sign, section->word, name);
@@ -75,9 +75,10 @@
 
 /* Merges the two sorted arrays in one pass. */
 static void
-compare_sides(const struct servicekey_section *section,
-              const struct side *from, const struct side *to, FILE *out,
-              struct configdiff *diff)
+compare_sections(const struct servicekey_section *section,
+                 const struct section_array *from,
+                 const struct section_array *to, FILE *out,
+                 struct configdiff *diff)
 {
     size_t i = 0;
     size_t j = 0;
@@ -88,11 +89,11 @@
                                  : strcmp(name_at(from, i), name_at(to, j));
 
         if (order < 0) {
-            print_one('-', section, name_at(from, i++), out);
+            print_section('-', section, name_at(from, i++), out);
             diff->removed++;
         }
         else if (order > 0) {
-            print_one('+', section, name_at(to, j++), out);
+            print_section('+', section, name_at(to, j++), out);
             diff->added++;
         }
         else {
@@ -102,31 +103,31 @@
     }
 }
 
-static struct side
+static struct section_array
 teams_of(const struct config *c)
 {
-    return (struct side){(const char *)c->teams, c->n_teams,
-                         sizeof(*c->teams)};
+    return (struct section_array){(const char *)c->teams, c->n_teams,
+                                  sizeof(*c->teams)};
 }
 
-static struct side
+static struct section_array
 services_of(const struct config *c)
 {
-    return (struct side){(const char *)c->services, c->n_services,
-                         sizeof(*c->services)};
+    return (struct section_array){(const char *)c->services, c->n_services,
+                                  sizeof(*c->services)};
 }
 
 struct configdiff
 configdiff_print(const struct config *from, const struct config *to, FILE *out)
 {
     struct configdiff diff = {0};
-    struct side old = teams_of(from);
-    struct side new = teams_of(to);
+    struct section_array old = teams_of(from);
+    struct section_array new = teams_of(to);
 
-    compare_sides(&servicekey_teams, &old, &new, out, &diff);
+    compare_sections(&servicekey_teams, &old, &new, out, &diff);
     old = services_of(from);
     new = services_of(to);
-    compare_sides(&servicekey_services, &old, &new, out, &diff);
+    compare_sections(&servicekey_services, &old, &new, out, &diff);
     return diff;
 }
 
--- a/src/control_disk.c
+++ b/src/control_disk.c
@@ -9,7 +9,7 @@
 #include "clock.h"
 #include "stats.h"
 
-enum { RING_ROOM = 4, WAIT_US = 1000000 };
+enum { RING_SIZE = 4, WAIT_US = 1000000 };
 
 struct work {
     struct mail mail;
@@ -47,7 +47,7 @@
 }
 
 static void
-fail(struct control_disk *d, enum storage_error err)
+report_failure(struct control_disk *d, enum storage_error err)
 {
     d->broken = true;
     d->opts.failed(d->opts.ctx, err, storage_detail(d->opts.storage));
@@ -56,7 +56,7 @@
 /* After the first failure effects are discarded and nothing is reported as
  * saved, because the state of the disk after a failed sync is unknown. */
 static void
-work_batch(struct control_disk *d)
+execute_batch(struct control_disk *d)
 {
     enum storage_error err = STORAGE_OK;
     uint64_t seq = 0;
@@ -83,7 +83,7 @@
                   (uint64_t)(clock_now(clock_real()).mono_us - begin_us));
     }
     if (err != STORAGE_OK) {
-        fail(d, err);
+        report_failure(d, err);
     }
     else if (seq > 0) {
         stats_add(&stats.disk_syncs, 1);
@@ -97,10 +97,10 @@
     struct control_disk *d = arg;
 
     while (!atomic_load(&d->stop)) {
-        work_batch(d);
+        execute_batch(d);
         mailbox_wait(&d->mailbox, WAIT_US);
     }
-    work_batch(d);
+    execute_batch(d);
     return NULL;
 }
 
@@ -109,7 +109,7 @@
 {
     struct control_disk *d = calloc(1, sizeof(*d));
 
-    if (d == NULL || mailbox_init(&d->mailbox, RING_ROOM) != 0) {
+    if (d == NULL || mailbox_init(&d->mailbox, RING_SIZE) != 0) {
         free(d);
         return NULL;
     }
--- a/src/control_dump.c
+++ b/src/control_dump.c
@@ -22,7 +22,7 @@
 }
 
 static json_t *
-number(uint64_t n)
+json_from_uint(uint64_t n)
 {
     return json_integer((json_int_t)n);
 }
@@ -45,7 +45,7 @@
 }
 
 static char *
-finish(json_t *root)
+dump_json(json_t *root)
 {
     char *text = json_dumps(root, JSON_COMPACT);
 
@@ -57,7 +57,7 @@
 }
 
 static const struct progress *
-progress_of(const struct control *c, struct name name)
+find_progress(const struct control *c, struct name name)
 {
     for (size_t i = 0; i < PEERS_MAX; i++) {
         if (name_equal(c->peers[i].name, name)) {
@@ -73,20 +73,20 @@
 add_progress(const struct control *c, json_t *o,
              const struct rec_control_member *m)
 {
-    const struct progress *p = progress_of(c, m->name);
+    const struct progress *p = find_progress(c, m->name);
     bool self = name_equal(m->name, c->opts.self);
     bool up = self;
-    bool other = self && m->voter != 0 && m->disk != c->opts.disk;
+    bool other_disk = self && m->voter != 0 && m->disk != c->opts.disk;
     int64_t limit = c->now.mono_us - c->opts.election_timeout_us;
 
     if (self) {
-        json_object_set_new(o, "match", number(c->log.durable));
+        json_object_set_new(o, "match", json_from_uint(c->log.durable));
         json_object_set_new(o, "heard_ms", json_integer(0));
     }
     else if (p != NULL && c->role == CONTROL_LEADER) {
         up = p->last_heard_us >= limit && p->last_heard_us > 0;
-        other = m->voter != 0 && p->disk != 0 && p->disk != m->disk;
-        json_object_set_new(o, "match", number(p->match_index));
+        other_disk = m->voter != 0 && p->disk != 0 && p->disk != m->disk;
+        json_object_set_new(o, "match", json_from_uint(p->match_index));
         json_object_set_new(o, "heard_ms", age_ms(c, p->last_heard_us));
     }
     else {
@@ -94,7 +94,7 @@
         json_object_set_new(o, "heard_ms", json_null());
     }
     json_object_set_new(o, "up", json_boolean(up));
-    json_object_set_new(o, "other_disk", json_boolean(other));
+    json_object_set_new(o, "other_disk", json_boolean(other_disk));
 }
 
 static json_t *
@@ -130,8 +130,9 @@
 
         json_object_set_new(o, "instance", json_string(f->info.instance.s));
         json_object_set_new(o, "zone", json_string(f->info.zone.s));
-        json_object_set_new(o, "incarnation", number(f->info.incarnation));
-        json_object_set_new(o, "version", number(f->info.version));
+        json_object_set_new(o, "incarnation",
+                            json_from_uint(f->info.incarnation));
+        json_object_set_new(o, "version", json_from_uint(f->info.version));
         json_object_set_new(o, "heard_ms", age_ms(c, f->last_heard_us));
         json_object_set_new(o, "via", json_string(f->via_member.s));
         json_object_set_new(o, "lags",
@@ -142,18 +143,18 @@
 }
 
 static json_t *
-status(const struct control *c)
+status_json(const struct control *c)
 {
     json_t *o = json_object();
 
     json_object_set_new(o, "self", json_string(c->opts.self.s));
     json_object_set_new(o, "role", json_string(role_text(c)));
     json_object_set_new(o, "leader", json_string(c->leader.s));
-    json_object_set_new(o, "term", number(c->term));
-    json_object_set_new(o, "last", number(clog_last(&c->log)));
-    json_object_set_new(o, "commit", number(c->commit_index));
-    json_object_set_new(o, "applied", number(c->applied_index));
-    json_object_set_new(o, "version", number(c->fsm.version));
+    json_object_set_new(o, "term", json_from_uint(c->term));
+    json_object_set_new(o, "last", json_from_uint(clog_last(&c->log)));
+    json_object_set_new(o, "commit", json_from_uint(c->commit_index));
+    json_object_set_new(o, "applied", json_from_uint(c->applied_index));
+    json_object_set_new(o, "version", json_from_uint(c->fsm.version));
     json_object_set_new(o, "members", members_json(c));
     json_object_set_new(o, "followers", followers_json(c));
     return o;
@@ -162,7 +163,7 @@
 char *
 control_status_json(const struct control *c)
 {
-    return finish(status(c));
+    return dump_json(status_json(c));
 }
 
 char *
@@ -176,42 +177,43 @@
         const struct rec_publication *p = &c->fsm.history[i - 1];
         json_t *o = json_object();
 
-        json_object_set_new(o, "version", number(p->version));
+        json_object_set_new(o, "version", json_from_uint(p->version));
         json_object_set_new(o, "operator", json_string(p->publisher.s));
         json_object_set_new(o, "request_id", blob_text(p->request_text));
-        json_object_set_new(o, "time_us", number(p->time_us));
+        json_object_set_new(o, "time_us", json_from_uint(p->time_us));
         json_object_set_new(o, "summary", blob_text(p->summary));
-        json_object_set_new(o, "bytes", number(p->bytes));
+        json_object_set_new(o, "bytes", json_from_uint(p->bytes));
         json_object_set_new(
             o, "kept",
             json_boolean(fsm_version_text(&c->fsm, p->version) != NULL));
         json_array_append_new(list, o);
     }
-    json_object_set_new(root, "version", number(c->fsm.version));
+    json_object_set_new(root, "version", json_from_uint(c->fsm.version));
     json_object_set_new(root, "publications", list);
-    return finish(root);
+    return dump_json(root);
 }
 
 char *
 control_state_json(const struct control *c)
 {
-    json_t *o = status(c);
+    json_t *o = status_json(c);
     json_t *counters = json_object();
 
     json_object_set_new(o, "vote", json_string(c->vote.s));
-    json_object_set_new(o, "log_base", number(c->log.base));
-    json_object_set_new(o, "log_bytes", number(c->log.bytes));
-    json_object_set_new(o, "durable", number(c->log.durable));
-    json_object_set_new(o, "snapshot_index", number(c->snapshot_index));
-    json_object_set_new(o, "state_bytes", number(fsm_bytes(&c->fsm)));
-    json_object_set_new(o, "held_messages", number(c->n_deferred));
-    json_object_set_new(o, "waiting_requests", number(c->n_pending));
+    json_object_set_new(o, "log_base", json_from_uint(c->log.base));
+    json_object_set_new(o, "log_bytes", json_from_uint(c->log.bytes));
+    json_object_set_new(o, "durable", json_from_uint(c->log.durable));
+    json_object_set_new(o, "snapshot_index",
+                        json_from_uint(c->snapshot_index));
+    json_object_set_new(o, "state_bytes", json_from_uint(fsm_bytes(&c->fsm)));
+    json_object_set_new(o, "held_messages", json_from_uint(c->n_deferred));
+    json_object_set_new(o, "waiting_requests", json_from_uint(c->n_pending));
     json_object_set_new(o, "serving", json_boolean(c->serving));
     json_object_set_new(o, "stopping", json_boolean(c->stopping));
 #define CONTROL_COUNTER(name, help)                                           \
-    json_object_set_new(counters, #name, number(c->counters.name));
+    json_object_set_new(counters, #name, json_from_uint(c->counters.name));
     CONTROL_COUNTER_LIST(CONTROL_COUNTER)
 #undef CONTROL_COUNTER
     json_object_set_new(o, "counters", counters);
-    return finish(o);
+    return dump_json(o);
 }
--- a/src/control_http.c
+++ b/src/control_http.c
@@ -30,7 +30,7 @@
     struct control_query query;
     char *body;
     size_t size;
-    size_t room;
+    size_t capacity;
     bool too_large;
     bool replied;
     struct control_effect reply;
@@ -42,7 +42,7 @@
 };
 
 static enum MHD_Result
-queue(struct request *r, struct control_response *out)
+send_response(struct request *r, struct control_response *out)
 {
     struct MHD_Response *response;
     enum MHD_Result queued;
@@ -70,16 +70,16 @@
 }
 
 static enum MHD_Result
-queue_refusal(struct request *r, enum control_result result,
-              const char *detail)
+send_rejection(struct request *r, enum control_result result,
+               const char *detail)
 {
-    struct control_rejection why = {.result = result};
+    struct control_rejection rejection = {.result = result};
     struct control_response out;
 
-    (void)snprintf(why.detail, sizeof(why.detail), "%s", detail);
+    (void)snprintf(rejection.detail, sizeof(rejection.detail), "%s", detail);
     stats_add(&stats.http_refused, 1);
-    out = control_response_rejection(&why);
-    return queue(r, &out);
+    out = control_response_rejection(&rejection);
+    return send_response(r, &out);
 }
 
 static bool
@@ -123,8 +123,8 @@
 }
 
 static enum MHD_Result
-begin(struct control_http *h, struct MHD_Connection *connection,
-      const char *url, const char *method, void **ctx)
+begin_request(struct control_http *h, struct MHD_Connection *connection,
+              const char *url, const char *method, void **ctx)
 {
     struct request *r = calloc(1, sizeof(*r));
 
@@ -141,18 +141,18 @@
     (void)MHD_get_connection_values(connection, MHD_GET_ARGUMENT_KIND,
                                     on_argument, r);
     if (r->route == CONTROL_ROUTE_NONE) {
-        return queue_refusal(r, CONTROL_NOT_FOUND, "");
+        return send_rejection(r, CONTROL_NOT_FOUND, "");
     }
     if (r->route == CONTROL_ROUTE_METHOD) {
-        return queue_refusal(r, CONTROL_METHOD, "");
+        return send_rejection(r, CONTROL_METHOD, "");
     }
     return MHD_YES;
 }
 
 static enum MHD_Result
-take_body(struct request *r, const char *data, size_t *n)
+append_body(struct request *r, const char *data, size_t *n)
 {
-    size_t room = r->room > 0 ? r->room : BODY_START;
+    size_t capacity = r->capacity > 0 ? r->capacity : BODY_START;
     char *body;
 
     if (!control_route_is_write(r->route) || r->size + *n > BODY_MAX) {
@@ -160,15 +160,15 @@
         *n = 0;
         return MHD_YES;
     }
-    while (room < r->size + *n) {
-        room *= 2;
+    while (capacity < r->size + *n) {
+        capacity *= 2;
     }
-    body = room != r->room ? realloc(r->body, room) : r->body;
+    body = capacity != r->capacity ? realloc(r->body, capacity) : r->body;
     if (body == NULL) {
         return MHD_NO;
     }
     r->body = body;
-    r->room = room;
+    r->capacity = capacity;
     memcpy(r->body + r->size, data, *n);
     r->size += *n;
     *n = 0;
@@ -176,7 +176,7 @@
 }
 
 static const char *
-header(struct request *r, const char *name)
+request_header(struct request *r, const char *name)
 {
     return MHD_lookup_connection_value(r->connection, MHD_HEADER_KIND, name);
 }
@@ -193,10 +193,10 @@
         .size = r->size,
     };
     const struct opauth_headers headers = {
-        .operator_name = header(r, "Boragemoor-Operator"),
-        .time = header(r, "Boragemoor-Time"),
-        .nonce = header(r, "Boragemoor-Nonce"),
-        .auth = header(r, "Boragemoor-Auth"),
+        .operator_name = request_header(r, "Boragemoor-Operator"),
+        .time = request_header(r, "Boragemoor-Time"),
+        .nonce = request_header(r, "Boragemoor-Nonce"),
+        .auth = request_header(r, "Boragemoor-Auth"),
     };
     enum opauth_result result;
 
@@ -231,24 +231,24 @@
                                : "{\"status\":\"unavailable\"}\n"),
     };
 
-    return queue(r, &out);
+    return send_response(r, &out);
 }
 
 static enum MHD_Result
 offer(struct control_http *h, struct request *r, struct name publisher)
 {
-    struct control_rejection why = {0};
+    struct control_rejection rejection = {0};
     uint64_t id = httpserver_wait(&h->server, &r->wait, r);
     struct control_mail *m;
 
     if (id == 0) {
-        return queue_refusal(r, CONTROL_NO_LEADER, "this member is stopping");
+        return send_rejection(r, CONTROL_NO_LEADER, "this member is stopping");
     }
     m = control_request_parse(r->route, &r->query, publisher, r->body, r->size,
-                              id, &why);
+                              id, &rejection);
     if (m == NULL) {
         (void)httpserver_take(&h->server, id);
-        return queue_refusal(r, why.result, why.detail);
+        return send_rejection(r, rejection.result, rejection.detail);
     }
     httpserver_suspend(&h->server, &r->wait, r->connection);
     if (!h->opts.offer(h->opts.ctx, m)) {
@@ -263,21 +263,21 @@
 }
 
 static enum MHD_Result
-act(struct control_http *h, struct request *r, const char *method)
+handle_request(struct control_http *h, struct request *r, const char *method)
 {
     struct name publisher = {""};
 
     if (r->too_large) {
-        return queue_refusal(r, CONTROL_TOO_LARGE, "");
+        return send_rejection(r, CONTROL_TOO_LARGE, "");
     }
     if (r->route == CONTROL_ROUTE_HEALTH) {
         return reply_health(h, r);
     }
     switch (check_signature(h, r, method, &publisher)) {
     case OPAUTH_NOT_SIGNED:
-        return queue_refusal(r, CONTROL_NOT_SIGNED, "");
+        return send_rejection(r, CONTROL_NOT_SIGNED, "");
     case OPAUTH_STALE:
-        return queue_refusal(r, CONTROL_STALE, "");
+        return send_rejection(r, CONTROL_STALE, "");
     default:
         return offer(h, r, publisher);
     }
@@ -293,18 +293,18 @@
 
     (void)version;
     if (r == NULL) {
-        return begin(h, connection, url, method, ctx);
+        return begin_request(h, connection, url, method, ctx);
     }
     if (r->replied) {
         struct control_response out = control_response_from_effect(
             r->route, &r->reply, r->path, r->query_text);
 
-        return queue(r, &out);
+        return send_response(r, &out);
     }
     if (*upload_data_size > 0) {
-        return take_body(r, upload_data, upload_data_size);
+        return append_body(r, upload_data, upload_data_size);
     }
-    return act(h, r, method);
+    return handle_request(h, r, method);
 }
 
 void
@@ -325,13 +325,13 @@
 
 static void
 on_completed(void *cls, struct MHD_Connection *connection, void **ctx,
-             enum MHD_RequestTerminationCode how)
+             enum MHD_RequestTerminationCode termination)
 {
     struct control_http *h = cls;
     struct request *r = *ctx;
 
     (void)connection;
-    (void)how;
+    (void)termination;
     if (r == NULL) {
         return;
     }
@@ -393,7 +393,7 @@
 }
 
 static void
-refuse_one(void *cls, uint64_t request)
+reject_pending(void *cls, uint64_t request)
 {
     struct control_effect stop = {.kind = CE_REPLY};
 
@@ -407,7 +407,7 @@
     if (h == NULL) {
         return;
     }
-    httpserver_close(&h->server, refuse_one, h);
+    httpserver_close(&h->server, reject_pending, h);
     httpserver_stop(&h->server);
     free(h);
 }
--- a/src/control_runtime.c
+++ b/src/control_runtime.c
@@ -15,7 +15,7 @@
 enum {
     BATCH = 64,             /* events processed between timer checks */
     WAIT_MAX_US = 1000000,  /* longest sleep of the reducer's thread */
-    HOLD_BACK_US = 200,     /* retry interval while the inbox is full */
+    INBOX_RETRY_US = 200,   /* retry interval while the inbox is full */
     DRAIN_MS = 2000,        /* time limit for pending replies at shutdown */
     STATE_REQUEST_DUMP = 0, /* request number of a state dump to the log */
 };
@@ -38,11 +38,11 @@
     atomic_bool stopping;
     atomic_bool stopped;
     atomic_bool failed;
-    atomic_bool ended;
+    atomic_bool reducer_ended;
 };
 
 static void
-log_decision(const struct ce_log *l)
+log_effect(const struct ce_log *l)
 {
     log_event(l->severity, control_reason_text(l->reason), l->subject.s, "%s",
               l->detail);
@@ -61,7 +61,7 @@
 }
 
 static void
-carry_out(struct control_runtime *r, struct control_effect *f)
+execute_effect(struct control_runtime *r, struct control_effect *f)
 {
     if (control_effect_is_disk(f->kind)) {
         control_disk_post(r->disk, f);
@@ -86,7 +86,7 @@
         connect_members(r, &f->u.members.msg.u.membership);
         break;
     case CE_LOG:
-        log_decision(&f->u.log);
+        log_effect(&f->u.log);
         break;
     default:
         atomic_store(&r->stopped, true);
@@ -96,7 +96,7 @@
 
 /* Passes membership changes to the registry. */
 static void
-tell_registry(struct control_runtime *r)
+update_registry_members(struct control_runtime *r)
 {
     size_t n = r->effects.n;
 
@@ -112,16 +112,16 @@
 }
 
 static void
-carry_out_all(struct control_runtime *r)
+execute_effects(struct control_runtime *r)
 {
     for (size_t i = 0; i < r->effects.n; i++) {
-        carry_out(r, &r->effects.items[i]);
+        execute_effect(r, &r->effects.items[i]);
     }
     control_effects_clear(&r->effects);
 }
 
 static void
-step(struct control_runtime *r, struct control_event *ev)
+step_reducer(struct control_runtime *r, struct control_event *ev)
 {
     struct control_view v;
 
@@ -130,8 +130,8 @@
         registry_tick(r->registry, ev->now, &r->effects);
     }
     control_step(r->control, ev, &r->effects);
-    tell_registry(r);
-    carry_out_all(r);
+    update_registry_members(r);
+    execute_effects(r);
     v = control_view(r->control);
     atomic_store(&r->healthy, !name_empty(v.leader));
     stats_add(&stats.steps, 1);
@@ -199,7 +199,7 @@
 }
 
 static void
-take_announcement(struct control_runtime *r, const struct control_mail *m)
+process_announcement(struct control_runtime *r, const struct control_mail *m)
 {
     const struct rec_leased_upstream *u =
         &m->msg->u.upstream_report.upstreams[0];
@@ -223,12 +223,12 @@
     default:
         break;
     }
-    carry_out_all(r);
+    execute_effects(r);
 }
 
 /* Returns whether the registry has processed the mail. */
 static bool
-take_for_registry(struct control_runtime *r, const struct control_mail *m)
+process_for_registry(struct control_runtime *r, const struct control_mail *m)
 {
     struct moment now = clock_now(r->opts.clock);
 
@@ -236,7 +236,7 @@
         return m->kind != CONTROL_MAIL_EVENT;
     }
     if (m->kind == CONTROL_MAIL_ANNOUNCE) {
-        take_announcement(r, m);
+        process_announcement(r, m);
         return true;
     }
     if (m->kind == CONTROL_MAIL_PEER) {
@@ -246,25 +246,25 @@
     if (m->event.kind == CEV_MESSAGE &&
         registry_on_message(r->registry, m->event.u.message.from, m->msg, now,
                             &r->effects)) {
-        carry_out_all(r);
+        execute_effects(r);
         return true;
     }
     return false;
 }
 
 static void
-take(struct control_runtime *r, struct control_mail *m)
+process_mail(struct control_runtime *r, struct control_mail *m)
 {
     if (m->kind == CONTROL_MAIL_METRICS) {
         reply_metrics(r, m->event.u.read.request);
     }
-    else if (!take_for_registry(r, m)) {
-        step(r, &m->event);
+    else if (!process_for_registry(r, m)) {
+        step_reducer(r, &m->event);
     }
 }
 
 static void
-take_batch(struct control_runtime *r)
+process_batch(struct control_runtime *r)
 {
     struct mail *mail;
 
@@ -276,13 +276,13 @@
             return;
         }
         m = (struct control_mail *)mail;
-        take(r, m);
+        process_mail(r, m);
         control_mail_free(m);
     }
 }
 
 static int64_t
-next_us(const struct control_runtime *r)
+next_timer_us(const struct control_runtime *r)
 {
     int64_t at = control_next_tick_us(r->control);
 
@@ -297,16 +297,17 @@
 {
     struct control_runtime *r = arg;
 
-    while (!atomic_load(&r->ended)) {
-        int64_t left_us;
+    while (!atomic_load(&r->reducer_ended)) {
+        int64_t remaining_us;
 
-        take_batch(r);
-        left_us = next_us(r) - clock_now(r->opts.clock).mono_us;
-        if (left_us <= 0) {
-            step(r, &(struct control_event){.kind = CEV_TICK});
+        process_batch(r);
+        remaining_us = next_timer_us(r) - clock_now(r->opts.clock).mono_us;
+        if (remaining_us <= 0) {
+            step_reducer(r, &(struct control_event){.kind = CEV_TICK});
             continue;
         }
-        mailbox_wait(&r->inbox, left_us < WAIT_MAX_US ? left_us : WAIT_MAX_US);
+        mailbox_wait(&r->inbox,
+                     remaining_us < WAIT_MAX_US ? remaining_us : WAIT_MAX_US);
     }
     return NULL;
 }
@@ -320,7 +321,7 @@
 }
 
 static void
-on_gone(void *ctx, uint64_t request)
+on_disconnect(void *ctx, uint64_t request)
 {
     struct control_runtime *r = ctx;
     struct control_mail *m = control_mail_new(CEV_GONE);
@@ -346,11 +347,11 @@
     struct control_mail *m = control_mail_message(from, msg);
 
     while (!mailbox_offer(&r->inbox, &m->mail)) {
-        if (atomic_load(&r->ended)) {
+        if (atomic_load(&r->reducer_ended)) {
             control_mail_free(m);
             return;
         }
-        (void)usleep(HOLD_BACK_US);
+        (void)usleep(INBOX_RETRY_US);
     }
 }
 
@@ -411,8 +412,8 @@
 }
 
 static enum storage_error
-found_folder(const struct control_runtime_options *o,
-             const struct rec_membership *members, char *detail)
+initialize_folder(const struct control_runtime_options *o,
+                  const struct rec_membership *members, char *detail)
 {
     struct storage_options s = {0};
     struct disk *disk = NULL;
@@ -449,7 +450,7 @@
 {
     char detail[DETAIL_SIZE];
 
-    return log_founding(o, found_folder(o, members, detail), detail);
+    return log_founding(o, initialize_folder(o, members, detail), detail);
 }
 
 bool
@@ -457,7 +458,7 @@
                            const struct rec_membership *members)
 {
     char detail[DETAIL_SIZE];
-    enum storage_error err = found_folder(o, members, detail);
+    enum storage_error err = initialize_folder(o, members, detail);
 
     return err == STORAGE_EXISTS || log_founding(o, err, detail);
 }
@@ -563,9 +564,9 @@
 }
 
 static void
-recall_upstreams(struct control_runtime *r, const struct storage_found *found)
+restore_upstreams(struct control_runtime *r, const struct storage_found *found)
 {
-    const struct rec_upstream_report *kept =
+    const struct rec_upstream_report *report =
         &found->upstreams.u.upstream_report;
 
     if (found->upstreams_bad) {
@@ -576,9 +577,9 @@
     if (r->registry == NULL || found->upstreams.kind != MSG_UPSTREAM_REPORT) {
         return;
     }
-    registry_restore(r->registry, kept, clock_now(r->opts.clock));
+    registry_restore(r->registry, report, clock_now(r->opts.clock));
     log_event(LOG_NOTICE, "upstreams-recalled", r->opts.data, "%zu upstreams",
-              kept->n_upstreams);
+              report->n_upstreams);
 }
 
 static bool
@@ -591,7 +592,7 @@
     }
     r->opts.control.disk = found.disk;
     r->control = control_new(&r->opts.control, &found);
-    recall_upstreams(r, &found);
+    restore_upstreams(r, &found);
     storage_found_free(&found);
     if (r->control == NULL) {
         log_event(LOG_CRIT, "not-started", r->opts.data,
@@ -624,7 +625,7 @@
         return false;
     }
     http.offer = on_offer;
-    http.gone = on_gone;
+    http.gone = on_disconnect;
     http.healthy = is_healthy;
     http.ctx = r;
     http.clock = r->opts.clock;
@@ -708,7 +709,7 @@
 }
 
 static void
-drop_mail(struct control_runtime *r)
+free_inbox(struct control_runtime *r)
 {
     struct mail *mail;
 
@@ -730,7 +731,7 @@
     if (r->running && !control_runtime_failed(r)) {
         r->http_ops->drain(r->http, DRAIN_MS);
     }
-    atomic_store(&r->ended, true);
+    atomic_store(&r->reducer_ended, true);
     if (r->running) {
         mailbox_wake(&r->inbox);
         (void)pthread_join(r->thread, NULL);
@@ -745,6 +746,6 @@
     control_effects_free(&r->effects);
     storage_close(r->storage);
     disk_files_close(r->folder);
-    drop_mail(r);
+    free_inbox(r);
     free(r);
 }
--- a/src/control_settings.c
+++ b/src/control_settings.c
@@ -5,7 +5,7 @@
 
 #include "log.h"
 
-enum { INBOX = 4096 };
+enum { INBOX_SIZE = 4096 };
 
 /* Keys of [limits] that set a member of an option struct, multiplied by
  * factor: LIMIT(key, unit, min, max, default, member, factor, help). */
@@ -43,7 +43,7 @@
         peers.send_max, 1 << 20, "unsent data for one process")
 /* clang-format on */
 
-static const struct setting table[] = {
+static const struct setting settings_table[] = {
     {"control", "name", SETTING_NAME, true, NULL, 0, 0, NULL, NULL,
      "name of this member"},
     {"control", "region", SETTING_NAME, true, NULL, 0, 0, NULL, NULL,
@@ -73,7 +73,7 @@
 #undef LIMIT
 };
 
-enum { TABLE = sizeof(table) / sizeof(table[0]) };
+enum { N_SETTINGS = sizeof(settings_table) / sizeof(settings_table[0]) };
 
 static void
 read_limits(struct control_settings *s)
@@ -181,7 +181,7 @@
 
     o->control = control_options_default();
     o->peers = peer_options_default();
-    o->inbox = INBOX;
+    o->inbox = INBOX_SIZE;
     read_limits(s);
     o->control.self = name_of(settings_text(f, "control", "name"));
     o->region = name_of(settings_text(f, "control", "region"));
@@ -207,7 +207,8 @@
 
     if (s != NULL &&
         !settings_load(&s->file,
-                       &(struct settings_load){table, TABLE, read_values, s},
+                       &(struct settings_load){settings_table, N_SETTINGS,
+                                               read_values, s},
                        path, errors)) {
         control_settings_free(s);
         s = NULL;
@@ -227,5 +228,5 @@
 void
 control_settings_help(FILE *out)
 {
-    settings_help(table, TABLE, out);
+    settings_help(settings_table, N_SETTINGS, out);
 }
--- a/src/publish.c
+++ b/src/publish.c
@@ -4,13 +4,13 @@
 #include <string.h>
 
 static uint64_t
-number_of(const json_t *json, const char *member)
+integer_member(const json_t *json, const char *member)
 {
     return (uint64_t)json_integer_value(json_object_get(json, member));
 }
 
 static const char *
-text_of(const json_t *json, const char *member)
+string_member(const json_t *json, const char *member)
 {
     const char *text = json_string_value(json_object_get(json, member));
 
@@ -29,12 +29,13 @@
     }
     (void)snprintf(a->detail, sizeof(a->detail),
                    "version %llu by %.40s came first: %.80s",
-                   (unsigned long long)number_of(winner, "version"),
-                   text_of(winner, "operator"), text_of(winner, "summary"));
+                   (unsigned long long)integer_member(winner, "version"),
+                   string_member(winner, "operator"),
+                   string_member(winner, "summary"));
 }
 
 static enum publish_end
-end_of(const struct fetch_reply *reply, bool unknown)
+outcome_of(const struct fetch_reply *reply, bool unknown)
 {
     if (reply->error == FETCH_OK && reply->status == 200) {
         return PUBLISH_ACCEPTED;
@@ -55,12 +56,12 @@
 struct publish_answer
 publish_read(const struct fetch_reply *reply, bool unknown)
 {
-    struct publish_answer a = {.end = end_of(reply, unknown)};
+    struct publish_answer a = {.end = outcome_of(reply, unknown)};
     json_t *json = reply->body != NULL
                        ? json_loadb(reply->body, reply->size, 0, NULL)
                        : NULL;
 
-    a.version = number_of(json, "version");
+    a.version = integer_member(json, "version");
     a.resend = json_is_true(json_object_get(json, "resend"));
     if (a.end == PUBLISH_ACCEPTED && a.version == 0) {
         a.end = PUBLISH_UNKNOWN; /* 200 from a server other than bm-control */
@@ -69,24 +70,26 @@
         describe_winner(json, &a);
     }
     else if (a.end != PUBLISH_ACCEPTED) {
-        (void)snprintf(a.detail, sizeof(a.detail),
-                       "%s, status %ld %.60s %.60s",
-                       fetch_error_text(reply->error), reply->status,
-                       text_of(json, "title"), text_of(json, "detail"));
+        (void)snprintf(
+            a.detail, sizeof(a.detail), "%s, status %ld %.60s %.60s",
+            fetch_error_text(reply->error), reply->status,
+            string_member(json, "title"), string_member(json, "detail"));
     }
     json_decref(json);
     return a;
 }
 
 static struct publish_laggard
-read_laggard(const json_t *follower)
+read_lagging_instance(const json_t *follower)
 {
-    struct publish_laggard l = {.version = number_of(follower, "version")};
+    struct publish_laggard l = {.version =
+                                    integer_member(follower, "version")};
 
     (void)snprintf(l.instance, sizeof(l.instance), "%s",
-                   text_of(follower, "instance"));
-    (void)snprintf(l.zone, sizeof(l.zone), "%s", text_of(follower, "zone"));
-    l.heard_ms = (int64_t)number_of(follower, "heard_ms");
+                   string_member(follower, "instance"));
+    (void)snprintf(l.zone, sizeof(l.zone), "%s",
+                   string_member(follower, "zone"));
+    l.heard_ms = (int64_t)integer_member(follower, "heard_ms");
     return l;
 }
 
@@ -95,20 +98,20 @@
                  struct publish_laggard *out, size_t room)
 {
     const json_t *followers = json_object_get(status, "followers");
-    struct publish_reach reach = {.known = json_is_array(followers)};
+    struct publish_reach rollout = {.known = json_is_array(followers)};
     const json_t *f;
     size_t i;
 
     json_array_foreach(followers, i, f)
     {
-        if (number_of(f, "version") >= version) {
-            reach.in_force++;
+        if (integer_member(f, "version") >= version) {
+            rollout.in_force++;
             continue;
         }
-        if (reach.lagging < room) {
-            out[reach.lagging] = read_laggard(f);
+        if (rollout.lagging < room) {
+            out[rollout.lagging] = read_lagging_instance(f);
         }
-        reach.lagging++;
+        rollout.lagging++;
     }
-    return reach;
+    return rollout;
 }
--- a/src/queueconf.c
+++ b/src/queueconf.c
@@ -29,13 +29,13 @@
     return false;
 }
 
-/* Element of the array that unique_routes() sorts. */
+/* Element of the array that routes_unique() sorts. */
 struct queue_ref {
     const struct queue_conf *queue;
 };
 
 static int
-compare_places(const void *a, const void *b)
+compare_routes(const void *a, const void *b)
 {
     const struct queue_conf *x = ((const struct queue_ref *)a)->queue;
     const struct queue_conf *y = ((const struct queue_ref *)b)->queue;
@@ -47,10 +47,10 @@
 /* Sorts instead of comparing all pairs: configurations have hundreds of queues
  * and are checked often when changes come in series. */
 static bool
-places_differ(const struct queueconf *c)
+routes_unique(const struct queueconf *c)
 {
     struct queue_ref *sorted = calloc(c->n_queues + 1, sizeof(*sorted));
-    bool differ = true;
+    bool unique = true;
 
     if (sorted == NULL) {
         abort();
@@ -58,12 +58,12 @@
     for (size_t i = 0; i < c->n_queues; i++) {
         sorted[i].queue = &c->queues[i];
     }
-    qsort(sorted, c->n_queues, sizeof(*sorted), compare_places);
-    for (size_t i = 1; i < c->n_queues && differ; i++) {
-        differ = compare_places(&sorted[i - 1], &sorted[i]) != 0;
+    qsort(sorted, c->n_queues, sizeof(*sorted), compare_routes);
+    for (size_t i = 1; i < c->n_queues && unique; i++) {
+        unique = compare_routes(&sorted[i - 1], &sorted[i]) != 0;
     }
     free(sorted);
-    return differ;
+    return unique;
 }
 
 enum queueconf_fault
@@ -77,7 +77,7 @@
             return QUEUECONF_UNKNOWN_SERVICE;
         }
     }
-    return places_differ(c) ? QUEUECONF_OK : QUEUECONF_SAME_PLACE;
+    return routes_unique(c) ? QUEUECONF_OK : QUEUECONF_SAME_PLACE;
 }
 
 static size_t
--- a/src/queueconf_wire.c
+++ b/src/queueconf_wire.c
@@ -80,24 +80,24 @@
 decode_list(const struct rec_queues *list)
 {
     struct queueconf *c = calloc(1, sizeof(*c));
-    bool good = c != NULL;
+    bool valid = c != NULL;
 
-    if (!good) {
+    if (!valid) {
         return NULL;
     }
     c->rank = list->rank;
     c->body_max = (size_t)list->body_max;
     c->queues = calloc(list->n_queues + 1, sizeof(*c->queues));
     c->services = calloc(list->n_services + 1, sizeof(*c->services));
-    good = c->queues != NULL && c->services != NULL;
-    for (size_t i = 0; good && i < list->n_queues; i++) {
-        good = decode_queue(&list->queues[i], &c->queues[c->n_queues++]);
+    valid = c->queues != NULL && c->services != NULL;
+    for (size_t i = 0; valid && i < list->n_queues; i++) {
+        valid = decode_queue(&list->queues[i], &c->queues[c->n_queues++]);
     }
-    for (size_t i = 0; good && i < list->n_services; i++) {
+    for (size_t i = 0; valid && i < list->n_services; i++) {
         c->services[c->n_services].name = list->services[i].name;
         c->services[c->n_services++].guarded = list->services[i].guarded != 0;
     }
-    if (!good) {
+    if (!valid) {
         queueconf_free(c);
         c = NULL;
     }
--- a/src/servicefile.c
+++ b/src/servicefile.c
@@ -18,7 +18,7 @@
     struct name name;
     char *file;
     int line;
-    uint32_t seen; /* bit i: key i is set in the file */
+    uint32_t keys_set; /* bit i: key i is set in the file */
     union {
         struct service_conf service;
         struct team_conf team;
@@ -29,12 +29,12 @@
     struct servicefile_errors *errs;
     struct section *sections;
     size_t n;
-    size_t room;
+    size_t capacity;
     const char *file;
-    const char *rest; /* unread part of the text */
+    const char *unread; /* unread part of the text */
     int line;
-    bool skipping; /* inside a rejected section */
-    bool opened;   /* this file has begun a section */
+    bool skipping;     /* inside a rejected section */
+    bool section_seen; /* this file has begun a section */
     bool out_of_memory;
 };
 
@@ -75,7 +75,7 @@
 }
 
 static const struct servicekey_section *
-section_kind_of(const char *title, const char **name)
+find_section_kind(const char *title, const char **name)
 {
     const struct servicekey_section *kinds[] = {&servicekey_services,
                                                 &servicekey_teams};
@@ -92,25 +92,26 @@
 }
 
 static struct section *
-section_add(struct loader *l)
+add_section(struct loader *l)
 {
-    if (l->n == l->room) {
-        size_t room = l->room > 0 ? 2 * l->room : 16;
-        struct section *grown = realloc(l->sections, room * sizeof(*grown));
+    if (l->n == l->capacity) {
+        size_t capacity = l->capacity > 0 ? 2 * l->capacity : 16;
+        struct section *grown =
+            realloc(l->sections, capacity * sizeof(*grown));
 
         if (grown == NULL) {
             l->out_of_memory = true;
             return NULL;
         }
         l->sections = grown;
-        l->room = room;
+        l->capacity = capacity;
     }
     memset(&l->sections[l->n], 0, sizeof(l->sections[l->n]));
     return &l->sections[l->n++];
 }
 
 static void
-section_defaults(struct section *s)
+set_defaults(struct section *s)
 {
     for (size_t i = 0; i < s->kind->n_keys; i++) {
         if (s->kind->keys[i].def != NULL) {
@@ -121,13 +122,13 @@
 }
 
 static void
-section_open(struct loader *l, const char *title)
+begin_section(struct loader *l, const char *title)
 {
     const char *name = NULL;
-    const struct servicekey_section *kind = section_kind_of(title, &name);
+    const struct servicekey_section *kind = find_section_kind(title, &name);
     struct section *s;
 
-    l->opened = true;
+    l->section_seen = true;
     l->skipping = true;
     if (kind == NULL) {
         add_error(l, l->file, l->line,
@@ -143,7 +144,7 @@
                   name, kind->word, NAME_SIZE - 1);
         return;
     }
-    s = section_add(l);
+    s = add_section(l);
     if (s == NULL) {
         return;
     }
@@ -153,7 +154,7 @@
     s->file = strdup(l->file);
     s->line = l->line;
     l->out_of_memory |= s->file == NULL;
-    section_defaults(s);
+    set_defaults(s);
 }
 
 static int
@@ -164,7 +165,7 @@
     char range[RANGE_SIZE];
 
     (void)title;
-    if (!l->opened) {
+    if (!l->section_seen) {
         add_error(l, l->file, l->line, "\"%.40s\" stands before any section",
                   name);
         return 1;
@@ -179,10 +180,10 @@
         if (strcmp(key->name, name) != 0) {
             continue;
         }
-        if (s->seen & (1U << i)) {
+        if (s->keys_set & (1U << i)) {
             add_error(l, l->file, l->line, "%s is given twice", name);
         }
-        s->seen |= 1U << i;
+        s->keys_set |= 1U << i;
         if (!servicekey_parse(key, value, &s->u)) {
             servicekey_range(key, range, sizeof(range));
             add_error(l, l->file, l->line,
@@ -199,27 +200,27 @@
 /* libinih passes neither line numbers nor sections without keys to the value
  * handler, so read_line(), which gets each line first, records both. */
 static void
-note_section(struct loader *l, const char *line)
+read_section_header(struct loader *l, const char *line)
 {
     const char *end = strchr(line, ']');
     char title[SERVICEFILE_LINE_MAX];
 
     if (end == NULL) {
-        l->opened = true;
+        l->section_seen = true;
         l->skipping = true;
         return;
     }
     (void)snprintf(title, sizeof(title), "%.*s", (int)(end - line - 1),
                    line + 1);
-    section_open(l, title);
+    begin_section(l, title);
 }
 
 static bool
-line_allowed(struct loader *l, const char *line, size_t n, size_t room)
+check_line(struct loader *l, const char *line, size_t n, size_t capacity)
 {
-    if (n + 3 > room) {
+    if (n + 3 > capacity) {
         add_error(l, l->file, l->line, "the line is longer than %zu bytes",
-                  room - 3);
+                  capacity - 3);
         return false;
     }
     if (isblank((unsigned char)line[0]) && line[strspn(line, " \t\r\n")] &&
@@ -235,23 +236,23 @@
 read_line(char *out, int size, void *stream)
 {
     struct loader *l = stream;
-    size_t n = strcspn(l->rest, "\n");
-    size_t taken = l->rest[n] == '\n' ? n + 1 : n;
-    const char *line = l->rest;
+    size_t n = strcspn(l->unread, "\n");
+    size_t taken = l->unread[n] == '\n' ? n + 1 : n;
+    const char *line = l->unread;
 
     if (taken == 0) {
         return NULL;
     }
     l->line++;
-    l->rest += taken;
+    l->unread += taken;
     out[0] = '\n';
     out[1] = '\0';
-    if (n > 0 && line_allowed(l, line, n, (size_t)size)) {
+    if (n > 0 && check_line(l, line, n, (size_t)size)) {
         memcpy(out, line, n);
         memcpy(out + n, "\n", 2);
     }
     if (out[0] == '[') {
-        note_section(l, out);
+        read_section_header(l, out);
     }
     return out;
 }
@@ -262,19 +263,19 @@
 static void
 load_text(struct loader *l, const char *text, const char *file)
 {
-    int longest;
+    int saved_max_line;
     int bad;
 
     l->file = file;
-    l->rest = text;
+    l->unread = text;
     l->line = 0;
-    l->opened = false;
+    l->section_seen = false;
     l->skipping = false;
     pthread_mutex_lock(&ini_lock);
-    longest = ini_max_line;
+    saved_max_line = ini_max_line;
     ini_max_line = SERVICEFILE_LINE_MAX;
     bad = ini_parse_stream(read_line, l, on_value, l);
-    ini_max_line = longest;
+    ini_max_line = saved_max_line;
     pthread_mutex_unlock(&ini_lock);
     if (bad > 0) {
         add_error(l, file, bad, "neither [section] nor key = value");
@@ -301,7 +302,7 @@
 check_required(struct loader *l, const struct section *s)
 {
     for (size_t i = 0; i < s->kind->n_keys; i++) {
-        if (s->kind->keys[i].def == NULL && !(s->seen & (1U << i))) {
+        if (s->kind->keys[i].def == NULL && !(s->keys_set & (1U << i))) {
             add_error(l, s->file, s->line, "[%s %s] lacks %s", s->kind->word,
                       s->name.s, s->kind->keys[i].name);
         }
@@ -353,7 +354,7 @@
 }
 
 static void
-check_all(struct loader *l)
+check_sections(struct loader *l)
 {
     for (size_t i = 0; i < l->n; i++) {
         check_required(l, &l->sections[i]);
@@ -381,7 +382,7 @@
 }
 
 static void
-build_take(struct loader *l, size_t index, struct config *c)
+add_to_config(struct loader *l, size_t index, struct config *c)
 {
     struct section *s = &l->sections[index];
 
@@ -396,7 +397,7 @@
 }
 
 static struct config *
-build(struct loader *l)
+build_config(struct loader *l)
 {
     struct config *c = calloc(1, sizeof(*c));
 
@@ -410,7 +411,7 @@
         return NULL;
     }
     for (size_t i = 0; i < l->n; i++) {
-        build_take(l, i, c);
+        add_to_config(l, i, c);
     }
     qsort(c->services, c->n_services, sizeof(*c->services), compare_services);
     qsort(c->teams, c->n_teams, sizeof(*c->teams), compare_teams);
@@ -418,17 +419,17 @@
 }
 
 static struct config *
-finish(struct loader *l, const char *where)
+finish_loading(struct loader *l, const char *where)
 {
     struct config *c = NULL;
 
-    check_all(l);
+    check_sections(l);
     if (l->n > SERVICEFILE_SERVICES_MAX) {
         add_error(l, where, 0, "more than %d sections",
                   SERVICEFILE_SERVICES_MAX);
     }
     if (l->errs->total == 0 && !l->out_of_memory) {
-        c = build(l);
+        c = build_config(l);
     }
     if (c == NULL && l->errs->total == 0) {
         add_error(l, where, 0, "out of memory");
@@ -447,17 +448,17 @@
     struct loader l = {.errs = errs};
 
     load_text(&l, text, name);
-    return finish(&l, name);
+    return finish_loading(&l, name);
 }
 
 static void
 load_file(struct loader *l, const char *path)
 {
-    const char *why = NULL;
-    char *text = filetree_read(path, SERVICEFILE_SIZE_MAX, &why);
+    const char *error_cause = NULL;
+    char *text = filetree_read(path, SERVICEFILE_SIZE_MAX, &error_cause);
 
     if (text == NULL) {
-        add_error(l, path, 0, "not read: %s", why);
+        add_error(l, path, 0, "not read: %s", error_cause);
         return;
     }
     load_text(l, text, path);
@@ -465,13 +466,13 @@
 }
 
 static void
-load_one_dir(struct loader *l, const char *dir)
+load_dir(struct loader *l, const char *dir)
 {
     struct filetree tree = {0};
-    const char *wrong = filetree_collect(&tree, dir, SERVICEFILE_SUFFIX);
+    const char *error = filetree_collect(&tree, dir, SERVICEFILE_SUFFIX);
 
-    if (wrong != NULL) {
-        add_error(l, dir, 0, "not read: %s", wrong);
+    if (error != NULL) {
+        add_error(l, dir, 0, "not read: %s", error);
     }
     else if (tree.n == 0) {
         add_error(l, dir, 0, "holds no file *" SERVICEFILE_SUFFIX);
@@ -489,9 +490,9 @@
     struct loader l = {.errs = errs};
 
     for (size_t i = 0; i < n_dirs; i++) {
-        load_one_dir(&l, dirs[i]);
+        load_dir(&l, dirs[i]);
     }
-    return finish(&l, n_dirs > 0 ? dirs[0] : "");
+    return finish_loading(&l, n_dirs > 0 ? dirs[0] : "");
 }
 
 struct config *
--- a/src/servicekey.c
+++ b/src/servicekey.c
@@ -27,7 +27,7 @@
 enum {
     N_SERVICE_KEYS = sizeof(service_keys) / sizeof(service_keys[0]),
     N_TEAM_KEYS = sizeof(team_keys) / sizeof(team_keys[0]),
-    LIST_SIZE = 1024, /* longest list of zones, bytes */
+    ZONES_TEXT_SIZE = 1024, /* longest list of zones, bytes */
 };
 
 static const char *const order_names[] = {
@@ -108,7 +108,7 @@
 /* The parsers below return false if the text is not allowed. */
 
 static bool
-parse_whole(const char *text, int64_t least, int64_t most, int64_t *out)
+parse_integer(const char *text, int64_t least, int64_t most, int64_t *out)
 {
     char *end;
     long long value;
@@ -139,7 +139,7 @@
     }
     (void)snprintf(digits, sizeof(digits), "%.*s%s%s", (int)whole, text,
                    point == NULL ? "" : point + 1, &"000"[places]);
-    return parse_whole(digits, least, most, out);
+    return parse_integer(digits, least, most, out);
 }
 
 static bool
@@ -170,7 +170,7 @@
 static bool
 parse_zones(const char *text, struct service_conf *conf)
 {
-    char copy[LIST_SIZE];
+    char copy[ZONES_TEXT_SIZE];
     char *save = NULL;
 
     conf->n_zones = 0;
@@ -196,36 +196,36 @@
 {
     char *member = (char *)conf + key->offset;
     int64_t number = 0;
-    bool good = true;
+    bool valid = true;
 
     switch (key->kind) {
     case SERVICEKEY_NAME:
-        good = servicekey_name_valid(text);
+        valid = servicekey_name_valid(text);
         *(struct name *)member = name_of(text);
         break;
     case SERVICEKEY_COUNT:
-        good = parse_whole(text, key->least, key->most, &number);
+        valid = parse_integer(text, key->least, key->most, &number);
         *(uint32_t *)member = (uint32_t)number;
         break;
     case SERVICEKEY_MILLI:
-        good = parse_milli(text, key->least, key->most, &number);
+        valid = parse_milli(text, key->least, key->most, &number);
         *(uint32_t *)member = (uint32_t)number;
         break;
     case SERVICEKEY_MSEC:
-        good = parse_whole(text, key->least, key->most, &number);
+        valid = parse_integer(text, key->least, key->most, &number);
         *(int64_t *)member = number * USEC_PER_MSEC;
         break;
     case SERVICEKEY_FLAG:
-        good = parse_flag(text, (bool *)member);
+        valid = parse_flag(text, (bool *)member);
         break;
     case SERVICEKEY_ORDER:
-        good = parse_order(text, (enum queue_order *)member);
+        valid = parse_order(text, (enum queue_order *)member);
         break;
     case SERVICEKEY_ZONES:
-        good = parse_zones(text, conf);
+        valid = parse_zones(text, conf);
         break;
     }
-    return good;
+    return valid;
 }
 
 static void
--- a/src/storage.c
+++ b/src/storage.c
@@ -16,7 +16,7 @@
 enum {
     RECORD_MAGIC = 0x31726d62, /* "bmr1" */
     TEMP_SIZE = 32,
-    ENTRIES_START = 64,
+    INITIAL_ENTRIES = 64,
 };
 
 /* Precedes the body of every record; little-endian. */
@@ -34,7 +34,7 @@
     uint64_t base_term;  /* term of the entry at base */
     uint64_t *offsets;   /* file offset of entry base + 1 + i */
     size_t n;            /* entries in the file */
-    size_t room;         /* capacity of offsets */
+    size_t capacity;     /* capacity of offsets */
     uint64_t size;       /* size of the log file, bytes */
     bool unsynced;       /* entries were appended since the last sync */
     msgpack_sbuffer out; /* reused for encoding */
@@ -57,8 +57,8 @@
 }
 
 static enum storage_error
-fail_at(struct storage *s, enum storage_error err, const char *file,
-        uint64_t offset, const char *cause)
+record_error(struct storage *s, enum storage_error err, const char *file,
+             uint64_t offset, const char *cause)
 {
     if (s->failed == STORAGE_OK) {
         s->failed = err;
@@ -69,7 +69,8 @@
 }
 
 static enum storage_error
-check(struct storage *s, int result, const char *file, const char *operation)
+check_result(struct storage *s, int result, const char *file,
+             const char *operation)
 {
     if (s->failed != STORAGE_OK || result == 0) {
         return s->failed;
@@ -94,7 +95,7 @@
 /* Encodes a message as the record at @offset of a file and appends the record
  * to @to. */
 static void
-frame(msgpack_sbuffer *to, const struct msg *m, uint64_t offset)
+encode_record(msgpack_sbuffer *to, const struct msg *m, uint64_t offset)
 {
     struct record_head head = {0};
     size_t at = to->size;
@@ -115,7 +116,7 @@
 /* Decodes the record at @offset.  Returns its size with the header, or 0 if
  * the record is invalid. */
 static size_t
-unframe(const char *data, size_t size, size_t offset, struct msg *m)
+decode_record(const char *data, size_t size, size_t offset, struct msg *m)
 {
     struct record_head head;
     const char *body = data + offset + sizeof(head);
@@ -146,16 +147,17 @@
 
     (void)snprintf(temp, sizeof(temp), "%s.tmp", name);
     err = ops->remove(d, temp);
-    if (err != -ENOENT && check(s, err, temp, "remove") != STORAGE_OK) {
+    if (err != -ENOENT && check_result(s, err, temp, "remove") != STORAGE_OK) {
         return s->failed;
     }
-    if (check(s, ops->append(d, temp, data, size), temp, "write") !=
+    if (check_result(s, ops->append(d, temp, data, size), temp, "write") !=
             STORAGE_OK ||
-        check(s, ops->sync(d, temp), temp, "sync") != STORAGE_OK ||
-        check(s, ops->rename(d, temp, name), temp, "rename") != STORAGE_OK) {
+        check_result(s, ops->sync(d, temp), temp, "sync") != STORAGE_OK ||
+        check_result(s, ops->rename(d, temp, name), temp, "rename") !=
+            STORAGE_OK) {
         return s->failed;
     }
-    return check(s, ops->sync_folder(d), name, "sync folder");
+    return check_result(s, ops->sync_folder(d), name, "sync folder");
 }
 
 static enum storage_error
@@ -165,7 +167,7 @@
         return s->failed;
     }
     msgpack_sbuffer_clear(&s->out);
-    frame(&s->out, m, 0);
+    encode_record(&s->out, m, 0);
     return replace_file(s, name, s->out.data, s->out.size);
 }
 
@@ -181,12 +183,14 @@
     bool found = false;
 
     memset(m, 0, sizeof(*m));
-    if (err == -ENOENT || check(s, err, name, "read") != STORAGE_OK) {
+    if (err == -ENOENT || check_result(s, err, name, "read") != STORAGE_OK) {
         return false;
     }
-    if (size == 0 || unframe(data, size, 0, m) != size || m->kind != kind) {
+    if (size == 0 || decode_record(data, size, 0, m) != size ||
+        m->kind != kind) {
         msg_free(m);
-        (void)fail_at(s, STORAGE_DAMAGED, name, 0, "checksum does not match");
+        (void)record_error(s, STORAGE_DAMAGED, name, 0,
+                           "checksum does not match");
     }
     else {
         found = true;
@@ -196,17 +200,17 @@
 }
 
 static void
-note_offset(struct storage *s, uint64_t offset)
+add_offset(struct storage *s, uint64_t offset)
 {
-    if (s->n == s->room) {
-        size_t room = s->room == 0 ? ENTRIES_START : s->room * 2;
-        uint64_t *offsets = realloc(s->offsets, room * sizeof(*offsets));
+    if (s->n == s->capacity) {
+        size_t capacity = s->capacity == 0 ? INITIAL_ENTRIES : s->capacity * 2;
+        uint64_t *offsets = realloc(s->offsets, capacity * sizeof(*offsets));
 
         if (offsets == NULL) {
             abort();
         }
         s->offsets = offsets;
-        s->room = room;
+        s->capacity = capacity;
     }
     s->offsets[s->n++] = offset;
 }
@@ -234,7 +238,7 @@
 /* Returns whether a valid mark follows @from; the data at @from was durable
  * then. */
 static bool
-mark_behind(const char *data, size_t size, size_t from)
+followed_by_mark(const char *data, size_t size, size_t from)
 {
     uint32_t magic = htole32(RECORD_MAGIC);
     bool found = false;
@@ -244,7 +248,7 @@
         struct msg m = {0};
 
         if (memcmp(data + at, &magic, sizeof(magic)) != 0 ||
-            unframe(data, size, at, &m) == 0) {
+            decode_record(data, size, at, &m) == 0) {
             continue;
         }
         found = m.kind == MSG_LOG_ENTRY && m.u.log_entry.kind == LOG_KIND_MARK;
@@ -254,11 +258,11 @@
 }
 
 static enum storage_error
-keep_entry(struct storage *s, struct storage_found *f, uint64_t offset,
-           struct rec_log_entry *e)
+add_entry(struct storage *s, struct storage_found *f, uint64_t offset,
+          struct rec_log_entry *e)
 {
-    if (f->n_entries % ENTRIES_START == 0) {
-        f->entries = realloc(f->entries, (f->n_entries + ENTRIES_START) *
+    if (f->n_entries % INITIAL_ENTRIES == 0) {
+        f->entries = realloc(f->entries, (f->n_entries + INITIAL_ENTRIES) *
                                              sizeof(*f->entries));
         if (f->entries == NULL) {
             abort();
@@ -266,23 +270,25 @@
     }
     if (e->index != s->base + s->n + 1) {
         blob_unref(e->data);
-        return fail_at(s, STORAGE_DAMAGED, LOG, offset, "entry out of order");
+        return record_error(s, STORAGE_DAMAGED, LOG, offset,
+                            "entry out of order");
     }
-    note_offset(s, offset);
+    add_offset(s, offset);
     f->entries[f->n_entries++] = *e;
     return STORAGE_OK;
 }
 
 static enum storage_error
-take_record(struct storage *s, struct storage_found *f, uint64_t offset,
-            struct msg *m)
+apply_record(struct storage *s, struct storage_found *f, uint64_t offset,
+             struct msg *m)
 {
     struct rec_log_entry *e = &m->u.log_entry;
 
     if (m->kind != MSG_LOG_ENTRY ||
         (e->kind == LOG_KIND_HEADER) != (offset == 0)) {
         msg_free(m);
-        return fail_at(s, STORAGE_DAMAGED, LOG, offset, "unexpected record");
+        return record_error(s, STORAGE_DAMAGED, LOG, offset,
+                            "unexpected record");
     }
     if (e->kind == LOG_KIND_HEADER) {
         s->base = e->index;
@@ -292,10 +298,10 @@
     if (e->kind == LOG_KIND_MARK) {
         return e->index == s->base + s->n
                    ? STORAGE_OK
-                   : fail_at(s, STORAGE_DAMAGED, LOG, offset,
-                             "mark does not match the entries before it");
+                   : record_error(s, STORAGE_DAMAGED, LOG, offset,
+                                  "mark does not match the entries before it");
     }
-    return keep_entry(s, f, offset, e);
+    return add_entry(s, f, offset, e);
 }
 
 static enum storage_error
@@ -306,22 +312,22 @@
 
     while (at < size) {
         struct msg m = {0};
-        size_t used = unframe(data, size, at, &m);
+        size_t used = decode_record(data, size, at, &m);
 
         if (used == 0) {
             break;
         }
-        if (take_record(s, f, at, &m) != STORAGE_OK) {
+        if (apply_record(s, f, at, &m) != STORAGE_OK) {
             return s->failed;
         }
         at += used;
     }
     if (at == 0) {
-        return fail_at(s, STORAGE_DAMAGED, LOG, 0, "no header");
+        return record_error(s, STORAGE_DAMAGED, LOG, 0, "no header");
     }
-    if (at < size && mark_behind(data, size, at)) {
-        return fail_at(s, STORAGE_DAMAGED, LOG, at,
-                       "a record that was synced once is damaged");
+    if (at < size && followed_by_mark(data, size, at)) {
+        return record_error(s, STORAGE_DAMAGED, LOG, at,
+                            "a record that was synced once is damaged");
     }
     s->size = at;
     f->cut = size - at;
@@ -331,8 +337,8 @@
 static enum storage_error
 append_bytes(struct storage *s, const void *data, size_t size)
 {
-    if (check(s, s->opts.ops->append(s->opts.disk, LOG, data, size), LOG,
-              "write") == STORAGE_OK) {
+    if (check_result(s, s->opts.ops->append(s->opts.disk, LOG, data, size),
+                     LOG, "write") == STORAGE_OK) {
         s->size += size;
     }
     return s->failed;
@@ -341,7 +347,7 @@
 static enum storage_error
 sync_log(struct storage *s)
 {
-    return check(s, s->opts.ops->sync(s->opts.disk, LOG), LOG, "sync");
+    return check_result(s, s->opts.ops->sync(s->opts.disk, LOG), LOG, "sync");
 }
 
 static enum storage_error
@@ -350,7 +356,7 @@
     struct msg m = mark_msg(s, LOG_KIND_MARK);
 
     msgpack_sbuffer_clear(&s->out);
-    frame(&s->out, &m, s->size);
+    encode_record(&s->out, &m, s->size);
     if (append_bytes(s, s->out.data, s->out.size) != STORAGE_OK) {
         return s->failed;
     }
@@ -384,10 +390,11 @@
         struct msg m = entry_msg(&entries[i]);
 
         if (entries[i].index != s->base + s->n + 1) {
-            return fail_at(s, STORAGE_IO, LOG, offset, "entry out of order");
+            return record_error(s, STORAGE_IO, LOG, offset,
+                                "entry out of order");
         }
-        note_offset(s, offset + s->out.size);
-        frame(&s->out, &m, offset + s->out.size);
+        add_offset(s, offset + s->out.size);
+        encode_record(&s->out, &m, offset + s->out.size);
     }
     s->unsynced = true;
     return append_bytes(s, s->out.data, s->out.size);
@@ -397,10 +404,10 @@
  * power loss could leave marks of the old tail behind a torn new record, which
  * the next start would report as damage. */
 static enum storage_error
-cut_log(struct storage *s, uint64_t size)
+truncate_log(struct storage *s, uint64_t size)
 {
-    if (check(s, s->opts.ops->truncate(s->opts.disk, LOG, size), LOG,
-              "truncate") != STORAGE_OK) {
+    if (check_result(s, s->opts.ops->truncate(s->opts.disk, LOG, size), LOG,
+                     "truncate") != STORAGE_OK) {
         return s->failed;
     }
     s->size = size;
@@ -416,11 +423,12 @@
         return s->failed;
     }
     if (index <= s->base) {
-        return fail_at(s, STORAGE_IO, LOG, 0, "truncated behind the snapshot");
+        return record_error(s, STORAGE_IO, LOG, 0,
+                            "truncated behind the snapshot");
     }
     keep = index - s->base - 1;
     s->n = keep;
-    return cut_log(s, s->offsets[keep]);
+    return truncate_log(s, s->offsets[keep]);
 }
 
 enum storage_error
@@ -443,23 +451,23 @@
     size_t at = keep_from;
 
     m.u.log_entry.index = s->base;
-    frame(out, &m, 0);
+    encode_record(out, &m, 0);
     s->n = 0;
     while (first > 0 && at < size) {
-        size_t used = unframe(data, size, at, &m);
+        size_t used = decode_record(data, size, at, &m);
 
         if (used == 0) {
             break;
         }
         if (m.u.log_entry.kind < LOG_KIND_HEADER) {
-            note_offset(s, out->size);
-            frame(out, &m, out->size);
+            add_offset(s, out->size);
+            encode_record(out, &m, out->size);
         }
         msg_free(&m);
         at += used;
     }
     m = mark_msg(s, LOG_KIND_MARK);
-    frame(out, &m, out->size);
+    encode_record(out, &m, out->size);
 }
 
 static enum storage_error
@@ -472,8 +480,8 @@
     size_t kept = discard || drop > s->n ? 0 : s->n - drop;
     size_t from;
 
-    if (check(s, s->opts.ops->read(s->opts.disk, LOG, &data, &size), LOG,
-              "read") != STORAGE_OK) {
+    if (check_result(s, s->opts.ops->read(s->opts.disk, LOG, &data, &size),
+                     LOG, "read") != STORAGE_OK) {
         return s->failed;
     }
     from = kept > 0 ? s->offsets[drop] : size;
@@ -483,7 +491,7 @@
     s->n = kept;
     build_log(s, data, size, from, &out);
     if (s->n != kept) {
-        (void)fail_at(s, STORAGE_DAMAGED, LOG, from, "entries are gone");
+        (void)record_error(s, STORAGE_DAMAGED, LOG, from, "entries are gone");
     }
     else if (replace_file(s, LOG, out.data, out.size) == STORAGE_OK) {
         s->size = out.size;
@@ -524,14 +532,14 @@
 void
 storage_save_upstreams(struct storage *s, const struct msg *report)
 {
-    struct storage aside = {.opts = s->opts};
+    struct storage scratch = {.opts = s->opts};
 
     if (s->failed != STORAGE_OK) {
         return;
     }
-    msgpack_sbuffer_init(&aside.out);
-    (void)replace_record(&aside, UPSTREAMS, report);
-    msgpack_sbuffer_destroy(&aside.out);
+    msgpack_sbuffer_init(&scratch.out);
+    (void)replace_record(&scratch, UPSTREAMS, report);
+    msgpack_sbuffer_destroy(&scratch.out);
 }
 
 const char *
@@ -604,10 +612,10 @@
 static void
 read_upstreams(const struct storage *s, struct storage_found *f)
 {
-    struct storage aside = {.opts = s->opts};
+    struct storage scratch = {.opts = s->opts};
 
-    (void)read_record(&aside, UPSTREAMS, MSG_UPSTREAM_REPORT, &f->upstreams);
-    f->upstreams_bad = aside.failed != STORAGE_OK;
+    (void)read_record(&scratch, UPSTREAMS, MSG_UPSTREAM_REPORT, &f->upstreams);
+    f->upstreams_bad = scratch.failed != STORAGE_OK;
 }
 
 static enum storage_error
@@ -618,9 +626,9 @@
     int err = s->opts.ops->read(s->opts.disk, LOG, &data, &size);
 
     if (err == -ENOENT) {
-        return fail_at(s, STORAGE_DAMAGED, LOG, 0, "the file is missing");
+        return record_error(s, STORAGE_DAMAGED, LOG, 0, "the file is missing");
     }
-    if (check(s, err, LOG, "read") == STORAGE_OK) {
+    if (check_result(s, err, LOG, "read") == STORAGE_OK) {
         (void)scan_log(s, f, data, size);
     }
     free(data);
@@ -628,7 +636,7 @@
 }
 
 static void
-drop_found(struct storage_found *f, size_t n)
+drop_entries(struct storage_found *f, size_t n)
 {
     for (size_t i = 0; i < n; i++) {
         blob_unref(f->entries[i].data);
@@ -651,7 +659,7 @@
 
     if (compact_log(s, f->snapshot_index, f->snapshot_term, !agrees) ==
         STORAGE_OK) {
-        drop_found(f, agrees ? drop : f->n_entries);
+        drop_entries(f, agrees ? drop : f->n_entries);
     }
     return s->failed;
 }
@@ -665,14 +673,14 @@
         return s->failed;
     }
     if (s->base > snapshot) {
-        return fail_at(s, STORAGE_DAMAGED, SNAPSHOT, 0,
-                       "older than the log behind it");
+        return record_error(s, STORAGE_DAMAGED, SNAPSHOT, 0,
+                            "older than the log behind it");
     }
     if (s->base == snapshot && s->base_term != f->snapshot_term) {
-        return fail_at(s, STORAGE_DAMAGED, SNAPSHOT, 0,
-                       "of another term than the log behind it");
+        return record_error(s, STORAGE_DAMAGED, SNAPSHOT, 0,
+                            "of another term than the log behind it");
     }
-    if (f->cut > 0 && cut_log(s, s->size) != STORAGE_OK) {
+    if (f->cut > 0 && truncate_log(s, s->size) != STORAGE_OK) {
         return s->failed;
     }
     if (s->base < snapshot) {
@@ -685,8 +693,8 @@
 /* Writes the identity last: a folder without an identity counts as empty, so a
  * power loss before that is harmless. */
 static enum storage_error
-make_folder(struct storage *s, uint64_t index, uint64_t term,
-            struct blob *snapshot)
+initialize_folder(struct storage *s, uint64_t index, uint64_t term,
+                  struct blob *snapshot)
 {
     msgpack_sbuffer out;
     struct msg m = {.kind = MSG_DISK_IDENTITY};
@@ -711,7 +719,7 @@
 /* A folder without an identity must hold neither a vote nor an entry.  If it
  * does, the identity file was lost, and the vote is still binding. */
 static enum storage_error
-check_unused(struct storage *s)
+check_uninitialized(struct storage *s)
 {
     struct storage_found f = {0};
     struct msg m;
@@ -720,11 +728,13 @@
     int err = s->opts.ops->read(s->opts.disk, LOG, &data, &size);
 
     if (read_record(s, VOTE, MSG_VOTE_STATE, &m)) {
-        (void)fail_at(s, STORAGE_DAMAGED, IDENTITY, 0, "the file is missing");
+        (void)record_error(s, STORAGE_DAMAGED, IDENTITY, 0,
+                           "the file is missing");
     }
     if (s->failed == STORAGE_OK && err == 0 &&
         scan_log(s, &f, data, size) == STORAGE_OK && s->n > 0) {
-        (void)fail_at(s, STORAGE_DAMAGED, IDENTITY, 0, "the file is missing");
+        (void)record_error(s, STORAGE_DAMAGED, IDENTITY, 0,
+                           "the file is missing");
     }
     s->n = 0;
     storage_found_free(&f);
@@ -761,8 +771,9 @@
     if (f->disk == 0) {
         f->made = true;
         f->disk = s->opts.new_disk;
-        return check_unused(s) == STORAGE_OK ? make_folder(s, 0, 0, NULL)
-                                             : s->failed;
+        return check_uninitialized(s) == STORAGE_OK
+                   ? initialize_folder(s, 0, 0, NULL)
+                   : s->failed;
     }
     if (read_vote(s, f) != STORAGE_OK || read_snapshot(s, f) != STORAGE_OK) {
         return s->failed;
@@ -799,10 +810,11 @@
     enum storage_error err = read_identity(s, &found);
 
     if (err == STORAGE_OK && found.disk != 0) {
-        err = fail_at(s, STORAGE_EXISTS, IDENTITY, 0, "the folder is in use");
+        err = record_error(s, STORAGE_EXISTS, IDENTITY, 0,
+                           "the folder is in use");
     }
-    if (err == STORAGE_OK && check_unused(s) == STORAGE_OK) {
-        (void)make_folder(s, index, term, snapshot);
+    if (err == STORAGE_OK && check_uninitialized(s) == STORAGE_OK) {
+        (void)initialize_folder(s, index, term, snapshot);
     }
     err = s->failed;
     (void)snprintf(detail, DETAIL_SIZE, "%s", s->detail);
