--- a/src/servicefile.c
+++ b/src/servicefile.c
@@ -31,7 +31,7 @@
     size_t n;
     size_t capacity;
     const char *file;
-    const char *unread; /* unread part of the text */
+    const char *unread; /* start of the text that is not parsed yet */
     int line;
     bool skipping;     /* inside a rejected section */
     bool section_seen; /* this file has begun a section */
--- a/src/storage.c
+++ b/src/storage.c
@@ -327,7 +327,7 @@
     }
     if (at < size && followed_by_mark(data, size, at)) {
         return record_error(s, STORAGE_DAMAGED, LOG, at,
-                            "a record that was synced once is damaged");
+                            "an acknowledged record is damaged");
     }
     s->size = at;
     f->cut = size - at;
@@ -424,7 +424,7 @@
     }
     if (index <= s->base) {
         return record_error(s, STORAGE_IO, LOG, 0,
-                            "truncated behind the snapshot");
+                            "truncation before the end of the snapshot");
     }
     keep = index - s->base - 1;
     s->n = keep;
@@ -491,7 +491,8 @@
     s->n = kept;
     build_log(s, data, size, from, &out);
     if (s->n != kept) {
-        (void)record_error(s, STORAGE_DAMAGED, LOG, from, "entries are gone");
+        (void)record_error(s, STORAGE_DAMAGED, LOG, from,
+                           "entries are missing");
     }
     else if (replace_file(s, LOG, out.data, out.size) == STORAGE_OK) {
         s->size = out.size;
@@ -674,11 +675,11 @@
     }
     if (s->base > snapshot) {
         return record_error(s, STORAGE_DAMAGED, SNAPSHOT, 0,
-                            "older than the log behind it");
+                            "older than the start of the log");
     }
     if (s->base == snapshot && s->base_term != f->snapshot_term) {
         return record_error(s, STORAGE_DAMAGED, SNAPSHOT, 0,
-                            "of another term than the log behind it");
+                            "its term differs from the start of the log");
     }
     if (f->cut > 0 && truncate_log(s, s->size) != STORAGE_OK) {
         return s->failed;
@@ -752,9 +753,10 @@
     }
     if (!name_equal(m.u.disk_identity.member, s->opts.member) ||
         !name_equal(m.u.disk_identity.region, s->opts.region)) {
-        (void)snprintf(s->detail, sizeof(s->detail),
-                       "%s: it is member \"%s\" of region \"%s\"", IDENTITY,
-                       m.u.disk_identity.member.s, m.u.disk_identity.region.s);
+        (void)snprintf(
+            s->detail, sizeof(s->detail),
+            "%s: the folder belongs to member \"%s\" of region \"%s\"",
+            IDENTITY, m.u.disk_identity.member.s, m.u.disk_identity.region.s);
         s->failed = STORAGE_FOREIGN;
         return s->failed;
     }
