--- a/tests/control_http_test.c
+++ b/tests/control_http_test.c
@@ -1,4 +1,4 @@
-/* The HTTP server of control: requests that wait for the reducer. */
+/* HTTP server of control: requests that are pending at the reducer. */
 #include "control_http.h"
 
 #include <string.h>
@@ -69,13 +69,14 @@
     CU_ASSERT_PTR_NOT_NULL_FATAL(s->http);
 }
 
-static const char ask[] = "GET /v1/status HTTP/1.1\r\nHost: x\r\n\r\n";
+static const char status_request[] =
+    "GET /v1/status HTTP/1.1\r\nHost: x\r\n\r\n";
 
-/* A member is stopped while an operator waits for its answer, and the
- * reducer, which would give it, has ended.  The operator's tool would wait
- * for its own timeout, and the process crash over the open request. */
+/* The server is stopped while a request is pending and the reducer has ended.
+ * Without an answer the client would wait for its own timeout, and the process
+ * would crash on the open request. */
 static void
-requests_that_wait_at_the_end_are_answered(void)
+pending_requests_are_answered_at_shutdown(void)
 {
     struct server s;
     char out[NET_TEXT_SIZE];
@@ -83,7 +84,7 @@
 
     server_start(&s);
     fd = net_connect(control_http_port(s.http));
-    CU_ASSERT(net_send_text(fd, ask));
+    CU_ASSERT(net_send_text(fd, status_request));
     CU_ASSERT_FATAL(net_await(was_offered, &s));
     control_http_free(s.http);
     CU_ASSERT(net_read_http(fd, out));
@@ -93,9 +94,9 @@
     (void)close(fd);
 }
 
-/* The reducer is so far behind that its inbox is full. */
+/* A request while the reducer's inbox is full is answered with 503. */
 static void
-full_inbox_is_told(void)
+full_inbox_is_answered_with_503(void)
 {
     struct server s;
     char out[NET_TEXT_SIZE];
@@ -104,7 +105,7 @@
     server_start(&s);
     atomic_store(&s.full, true);
     fd = net_connect(control_http_port(s.http));
-    CU_ASSERT(net_send_text(fd, ask) && net_read_http(fd, out));
+    CU_ASSERT(net_send_text(fd, status_request) && net_read_http(fd, out));
     CU_ASSERT(strstr(out, " 503 ") != NULL);
     CU_ASSERT(strstr(out, "no-leader") != NULL);
     (void)close(fd);
@@ -116,6 +117,6 @@
 void
 suite_control_http(void)
 {
-    ADD(requests_that_wait_at_the_end_are_answered);
-    ADD(full_inbox_is_told);
+    ADD(pending_requests_are_answered_at_shutdown);
+    ADD(full_inbox_is_answered_with_503);
 }
--- a/tests/fault_disk.c
+++ b/tests/fault_disk.c
@@ -14,10 +14,10 @@
     size_t size;
 };
 
-/* A write (size of the file after it, with the content then) that was not
- * synced.  A truncation is one too. */
+/* An unsynced write: the content of the file after it is the first keep bytes
+ * and the added ones.  A truncation adds none. */
 struct write {
-    size_t keep; /* bytes of the file before that stay */
+    size_t keep; /* size of the unchanged start of the file, bytes */
     struct bytes added;
 };
 
@@ -26,7 +26,7 @@
     struct bytes durable;
     struct write writes[CHANGES];
     size_t n_writes;
-    bool lost; /* a sync failed: its unsynced part never reaches the medium */
+    bool lost; /* a sync failed: the unsynced writes never become durable */
 };
 
 struct entry_name {
@@ -42,10 +42,10 @@
     struct node *nodes[NODES];
     struct folder now;
     struct folder history[CHANGES]; /* states since the last folder sync */
-    size_t n_history;               /* history[0] is the durable one */
+    size_t n_history;               /* history[0] is the durable state */
     struct fault_plan plan;
     uint64_t operations;
-    bool dead;
+    bool powered_off;
 };
 
 static void
@@ -137,7 +137,7 @@
 }
 
 static bool
-named_anywhere(const struct disk *d, int node)
+has_name(const struct disk *d, int node)
 {
     for (size_t h = 0; h <= d->n_history; h++) {
         const struct folder *f = h < d->n_history ? &d->history[h] : &d->now;
@@ -152,27 +152,27 @@
 }
 
 static void
-drop_unnamed(struct disk *d)
+free_unnamed_nodes(struct disk *d)
 {
     for (int i = 0; i < NODES; i++) {
-        if (d->nodes[i] != NULL && !named_anywhere(d, i)) {
+        if (d->nodes[i] != NULL && !has_name(d, i)) {
             free_node(d, i);
         }
     }
 }
 
-/* Whether the power is still there for one more operation. */
+/* Counts an operation and returns whether there is no power loss before it. */
 static bool
-powered(struct disk *d)
+take_operation(struct disk *d)
 {
-    if (d->dead) {
+    if (d->powered_off) {
         return false;
     }
     d->operations++;
     if (d->plan.power_at > 0 && --d->plan.power_at == 0) {
-        d->dead = true;
+        d->powered_off = true;
     }
-    return !d->dead;
+    return !d->powered_off;
 }
 
 static void
@@ -209,7 +209,7 @@
     struct node *n = find_node(d, name);
     struct bytes copy = {0};
 
-    if (d->dead) {
+    if (d->powered_off) {
         return -EIO;
     }
     if (n == NULL) {
@@ -227,7 +227,7 @@
     struct node *n = find_node(d, name);
     size_t used = used_bytes(d);
 
-    if (!powered(d)) {
+    if (!take_operation(d)) {
         return -EIO;
     }
     if (n == NULL) {
@@ -248,7 +248,7 @@
 {
     struct node *n = find_node(d, name);
 
-    if (!powered(d)) {
+    if (!take_operation(d)) {
         return -EIO;
     }
     if (n == NULL || size > n->now.size) {
@@ -263,7 +263,7 @@
 {
     struct node *n = find_node(d, name);
 
-    if (!powered(d)) {
+    if (!take_operation(d)) {
         return -EIO;
     }
     if (n == NULL) {
@@ -288,7 +288,7 @@
     struct entry_name *old = find_name(&d->now, to);
     struct entry_name *e = find_name(&d->now, from);
 
-    if (!powered(d)) {
+    if (!take_operation(d)) {
         return -EIO;
     }
     if (e == NULL) {
@@ -308,7 +308,7 @@
 {
     struct entry_name *e = find_name(&d->now, name);
 
-    if (!powered(d)) {
+    if (!take_operation(d)) {
         return -EIO;
     }
     if (e == NULL) {
@@ -322,12 +322,12 @@
 static int
 fault_sync_folder(struct disk *d)
 {
-    if (!powered(d)) {
+    if (!take_operation(d)) {
         return -EIO;
     }
     d->history[0] = d->now;
     d->n_history = 1;
-    drop_unnamed(d);
+    free_unnamed_nodes(d);
     return 0;
 }
 
@@ -390,12 +390,13 @@
     return d->operations;
 }
 
-/* Puts bytes at a place of a file.  What was behind them is cut off only where
- * the truncation before them reached the medium, too. */
+/* Writes bytes at an offset of a file.  If @truncated is not set, an earlier
+ * truncation was lost, and the old content after the bytes stays. */
 static void
-put_bytes(struct bytes *b, size_t at, const char *data, size_t size, bool cut)
+put_bytes(struct bytes *b, size_t at, const char *data, size_t size,
+          bool truncated)
 {
-    size_t end = cut || at + size > b->size ? at + size : b->size;
+    size_t end = truncated || at + size > b->size ? at + size : b->size;
 
     b->data = realloc(b->data, end + 1);
     if (b->data == NULL) {
@@ -407,32 +408,32 @@
     b->size = end;
 }
 
-/* Replays an arbitrary number of the unsynced writes over what is durable.
- * Blocks reach the medium in any order: the last write may be there in part,
- * an earlier one may read as zeros, a truncation may be missing. */
+/* Replays an arbitrary number of the unsynced writes over the durable content.
+ * Blocks become durable in any order: the last write may be torn, an earlier
+ * one may read as zeros, a truncation may be missing. */
 static void
 crash_node(struct node *n, uint64_t *seed)
 {
-    size_t whole =
+    size_t n_replayed =
         *seed == 0 || n->lost ? 0 : random_next(seed) % (n->n_writes + 1);
-    bool cut = true;
+    bool truncated = true;
 
     bytes_set(&n->now, n->durable.data != NULL ? n->durable.data : "",
               n->durable.size);
-    for (size_t i = 0; i < whole; i++) {
+    for (size_t i = 0; i < n_replayed; i++) {
         struct write *w = &n->writes[i];
         size_t size = w->added.size;
-        uint64_t fate = random_next(seed) % 4;
+        uint64_t fault = random_next(seed) % 4;
 
-        if (size == 0 && fate == 0) {
-            cut = false;
+        if (size == 0 && fault == 0) {
+            truncated = false;
             continue;
         }
-        if (size > 0 && fate == 1 && i + 1 == whole) {
+        if (size > 0 && fault == 1 && i + 1 == n_replayed) {
             size = random_next(seed) % size;
         }
-        put_bytes(&n->now, w->keep, w->added.data, size, cut);
-        if (size > 0 && fate == 2) {
+        put_bytes(&n->now, w->keep, w->added.data, size, truncated);
+        if (size > 0 && fault == 2) {
             memset(n->now.data + w->keep + size / 2, 0, size - size / 2);
         }
     }
@@ -457,8 +458,8 @@
             crash_node(d->nodes[i], &seed);
         }
     }
-    drop_unnamed(d);
-    d->dead = false;
+    free_unnamed_nodes(d);
+    d->powered_off = false;
     memset(&d->plan, 0, sizeof(d->plan));
 }
 
--- a/tests/publish_test.c
+++ b/tests/publish_test.c
@@ -1,4 +1,5 @@
-/* Publishing: differences, signatures, and what control's answers mean. */
+/* Publishing: differences, signatures, and the meaning of control's answers.
+ */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -63,31 +64,34 @@
 }
 
 static enum publish_end
-end_of(enum fetch_error error, long status, const char *body, bool unknown)
+outcome_of(enum fetch_error error, long status, const char *body, bool unknown)
 {
     struct fetch_reply reply = reply_of(error, status, body);
 
     return publish_read(&reply, unknown).end;
 }
 
-/* An operator's connection breaks after the change was sent.  Told "nothing
- * was changed", the operator would go home while the change takes effect;
- * told "accepted", while it does not. */
+/* The connection breaks after a change was sent.  The outcome is unknown then:
+ * the change may take effect although "nothing was changed" is reported, or
+ * may be lost although "accepted" is reported. */
 static void
 publish_reads_answers(void)
 {
     struct fetch_reply reply;
     struct publish_answer a;
 
-    CU_ASSERT_EQUAL(end_of(FETCH_LOST, 0, "", true), PUBLISH_UNKNOWN);
-    CU_ASSERT_EQUAL(end_of(FETCH_NO_CONNECT, 0, "", true), PUBLISH_UNKNOWN);
-    CU_ASSERT_EQUAL(end_of(FETCH_NO_CONNECT, 0, "", false),
+    CU_ASSERT_EQUAL(outcome_of(FETCH_LOST, 0, "", true), PUBLISH_UNKNOWN);
+    CU_ASSERT_EQUAL(outcome_of(FETCH_NO_CONNECT, 0, "", true),
+                    PUBLISH_UNKNOWN);
+    CU_ASSERT_EQUAL(outcome_of(FETCH_NO_CONNECT, 0, "", false),
                     PUBLISH_UNREACHABLE);
-    CU_ASSERT_EQUAL(end_of(FETCH_OK, 503, "{}", false), PUBLISH_UNREACHABLE);
-    CU_ASSERT_EQUAL(end_of(FETCH_OK, 422, "{}", false), PUBLISH_REFUSED);
-    CU_ASSERT_EQUAL(end_of(FETCH_OK, 401, "{}", true), PUBLISH_UNKNOWN);
-    CU_ASSERT_EQUAL(end_of(FETCH_OK, 200, "<html>", false), PUBLISH_UNKNOWN);
-    CU_ASSERT_EQUAL(end_of(FETCH_OK, 200, "{\"version\":8}", true),
+    CU_ASSERT_EQUAL(outcome_of(FETCH_OK, 503, "{}", false),
+                    PUBLISH_UNREACHABLE);
+    CU_ASSERT_EQUAL(outcome_of(FETCH_OK, 422, "{}", false), PUBLISH_REFUSED);
+    CU_ASSERT_EQUAL(outcome_of(FETCH_OK, 401, "{}", true), PUBLISH_UNKNOWN);
+    CU_ASSERT_EQUAL(outcome_of(FETCH_OK, 200, "<html>", false),
+                    PUBLISH_UNKNOWN);
+    CU_ASSERT_EQUAL(outcome_of(FETCH_OK, 200, "{\"version\":8}", true),
                     PUBLISH_ACCEPTED);
     reply = reply_of(FETCH_OK, 409,
                      "{\"version\":9,\"winner\":{\"version\":8,"
@@ -99,7 +103,7 @@
 }
 
 static void
-publish_names_laggards(void)
+publish_lists_lagging_instances(void)
 {
     json_t *status = json_loads(
         "{\"followers\":[{\"instance\":\"e1\",\"version\":8},"
@@ -116,10 +120,10 @@
     json_decref(status);
 }
 
-/* Somebody on the path changes the body, the path or the time of a signed
- * change, or replays it as another operator. */
+/* An attacker on the network modifies a part of a signed change, or replays
+ * the change as another operator. */
 static void
-publish_signatures_cover_everything(void)
+publish_signatures_cover_all_fields(void)
 {
     static const unsigned char key[OPSIGN_KEY_SIZE] = {1};
     static const unsigned char other_key[OPSIGN_KEY_SIZE] = {2};
@@ -191,9 +195,10 @@
     check_add("publish", "publish_prints_differences",
               publish_prints_differences);
     check_add("publish", "publish_reads_answers", publish_reads_answers);
-    check_add("publish", "publish_names_laggards", publish_names_laggards);
-    check_add("publish", "publish_signatures_cover_everything",
-              publish_signatures_cover_everything);
+    check_add("publish", "publish_lists_lagging_instances",
+              publish_lists_lagging_instances);
+    check_add("publish", "publish_signatures_cover_all_fields",
+              publish_signatures_cover_all_fields);
     check_add("publish", "publish_checks_operators_files",
               publish_checks_operators_files);
 }
--- a/tests/servicefile_test.c
+++ b/tests/servicefile_test.c
@@ -1,6 +1,6 @@
 /*
  * Service files.  Each tests/servicefile/NAME.case holds a text, a line "---"
- * and the errors that it must give, in order; none for a good one.
+ * and the expected errors in order; a valid text has none.
  */
 #include <dirent.h>
 #include <stdio.h>
@@ -42,7 +42,7 @@
     }
 }
 
-/* Whatever is accepted must come back from its canonical text unchanged. */
+/* Checks that parsing the canonical text gives an equal configuration. */
 static void
 check_round_trip(const struct config *config, const char *expected)
 {
@@ -134,9 +134,9 @@
     }
 }
 
-/* Two repositories are collected into one publication, and each describes the
- * same service.  If the later one silently won, one team would find its
- * service run with another team's limits. */
+/* Two repositories that are published together define the same service.  If
+ * the later definition silently replaced the first, the service would run with
+ * the limits of another team. */
 static void
 servicefile_refuses_duplicates_across_files(void)
 {
@@ -195,7 +195,7 @@
 }
 
 static void
-servicefile_page_is_whole(void)
+servicefile_page_lists_every_key(void)
 {
     char dir[PATH_SIZE];
     char *doc;
@@ -213,6 +213,6 @@
     check_add("servicefile", "servicefile_cases", servicefile_cases);
     check_add("servicefile", "servicefile_refuses_duplicates_across_files",
               servicefile_refuses_duplicates_across_files);
-    check_add("servicefile", "servicefile_page_is_whole",
-              servicefile_page_is_whole);
+    check_add("servicefile", "servicefile_page_lists_every_key",
+              servicefile_page_lists_every_key);
 }
--- a/tests/storage_test.c
+++ b/tests/storage_test.c
@@ -1,4 +1,4 @@
-/* The data folder of a control member, on a disk that fails. */
+/* Data folder of a control member, on a simulated disk with faults. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -65,7 +65,7 @@
 }
 
 static void
-keeps_what_was_saved(void)
+saved_state_is_restored(void)
 {
     struct disk *d = fault_disk_new();
     struct storage_found f;
@@ -131,15 +131,17 @@
     CU_ASSERT_EQUAL(rmdir(folder), 0);
 }
 
-/* What one run of the script below was told is durable. */
+/* State that one run of run_script() got acknowledged as durable. */
 struct acknowledged {
     uint64_t term;
     uint64_t snapshot;
     uint64_t last;
-    bool cutting; /* a truncation was under way: its tail may be gone */
+    bool truncating; /* a truncation has begun: the truncated tail may be gone
+                      */
 };
 
-/* Votes, batches, a truncation and two snapshots, until the disk fails. */
+/* Writes votes, batches, a truncation and two snapshots until the disk fails.
+ */
 static void
 run_script(struct storage *s, struct acknowledged *a)
 {
@@ -160,13 +162,13 @@
         }
         a->last = next - 1;
         if (term == 2) {
-            a->cutting = true;
+            a->truncating = true;
             a->last = next - 2;
             if (storage_truncate(s, next - 1) != STORAGE_OK) {
                 break;
             }
             next--;
-            continue; /* the next batch goes over the old tail */
+            continue; /* the next batch overwrites the truncated tail */
         }
         if (storage_save_snapshot(s, next - 2, term, state, false) !=
             STORAGE_OK) {
@@ -178,7 +180,7 @@
 }
 
 static void
-check_found(const struct storage_found *f, const struct acknowledged *a)
+check_contents(const struct storage_found *f, const struct acknowledged *a)
 {
     uint64_t last = f->snapshot_index + f->n_entries;
 
@@ -195,10 +197,10 @@
     }
 }
 
-/* The power goes in the middle of a write, between a write and its sync, or
- * between the rename of a file and the sync of its folder.  Operators see a
- * member that was told "done" and after the restart knows nothing of it, or
- * that refuses to start although nothing it confirmed is lost. */
+/* Power loss in the middle of a write, between a write and its sync, or
+ * between the rename of a file and the sync of its folder.  Guards against a
+ * member that has lost acknowledged state after the restart, and against one
+ * that does not start although all acknowledged state is there. */
 static void
 power_loss_at_every_step(void)
 {
@@ -230,7 +232,7 @@
             s = open_on(d, &f);
             CU_ASSERT_PTR_NOT_NULL(s);
             if (s != NULL) {
-                check_found(&f, &a);
+                check_contents(&f, &a);
                 storage_found_free(&f);
             }
             storage_close(s);
@@ -261,11 +263,11 @@
     return d;
 }
 
-/* A disk returns a byte other than the one it was given.  Were the start to go
- * on with a shorter log, a change that an operator was told is accepted would
- * be gone; so either everything is still there or the start is refused. */
+/* The disk returns a byte other than the one written.  A member that started
+ * with a shorter log would lose an accepted change, so either all data is
+ * still there or the open fails. */
 static void
-flipped_bit_anywhere(void)
+flipped_bit_is_detected_or_harmless(void)
 {
     static const char *const names[] = {"identity", "vote", "snapshot", "log"};
 
@@ -302,11 +304,11 @@
     }
 }
 
-/* A sync fails: the kernel may have dropped the data and will say "fine" the
- * next time.  Were the member to go on, it would confirm what is not on the
- * disk, and lose it at the next power loss. */
+/* After a failed sync the kernel may have dropped the data, and a second sync
+ * may succeed.  A member that continued would acknowledge data that is not on
+ * the disk and lose it at the next power loss. */
 static void
-nothing_after_a_failed_sync(void)
+no_writes_after_a_failed_sync(void)
 {
     struct disk *d = fault_disk_new();
     struct storage_found f;
@@ -330,10 +332,10 @@
     fault_disk_free(d);
 }
 
-/* The disk is full in the middle of a record.  The member says so and stops;
- * once there is room again it starts with all it had confirmed. */
+/* The disk gets full in the middle of a record.  The error is reported, and
+ * once there is free space the folder opens with all acknowledged entries. */
 static void
-full_disk(void)
+full_disk_keeps_acknowledged_entries(void)
 {
     for (uint64_t room = 1; room < 400; room += 7) {
         struct disk *d = disk_with_entries(4, false);
@@ -381,8 +383,8 @@
     msg_free(&m);
 }
 
-/* The hint is one of the two that were written, or none at all; the log has
- * what was confirmed. */
+/* Checks that the upstreams hint is one of those written or missing, and that
+ * the log has all acknowledged entries. */
 static void
 check_hint(struct disk *d, uint64_t entries)
 {
@@ -400,11 +402,11 @@
     storage_close(s);
 }
 
-/* The power goes, or the disk is full, while the hint of the upstreams is
- * written.  It may be lost, and the member goes on with all that it has
- * confirmed: operators would lose changes for the sake of half a second. */
+/* Power loss while the upstreams hint is written.  The hint may be lost, but
+ * no acknowledged entry: the hint only shortens the recovery by about half a
+ * second. */
 static void
-hint_never_costs_what_was_confirmed(void)
+power_loss_in_hint_write_keeps_the_log(void)
 {
     for (uint64_t at = 1; at <= 8; at++) {
         for (uint64_t seed = 0; seed < SEEDS; seed++) {
@@ -424,8 +426,10 @@
     }
 }
 
+/* The disk is too full for the upstreams hint.  The log must still accept
+ * entries. */
 static void
-full_disk_takes_no_hint_and_goes_on(void)
+full_disk_for_hint_keeps_log_usable(void)
 {
     struct disk *d = disk_with_entries(4, false);
     struct storage_found f;
@@ -443,9 +447,10 @@
     fault_disk_free(d);
 }
 
-/* A bit of the hint flips.  The member starts, says so, and knows nobody. */
+/* A bit of the upstreams hint flips.  The folder opens, reports the damage and
+ * returns no upstreams. */
 static void
-damaged_hint_is_none(void)
+damaged_hint_is_ignored(void)
 {
     struct disk *d = disk_with_entries(4, false);
     struct storage_found f;
@@ -472,10 +477,10 @@
     fault_disk_free(d);
 }
 
-/* Somebody starts a member on the folder of another, or removes a file from
- * its folder.  It would vote and answer with a past that is not its own. */
+/* A member is started on the folder of another member, or on a folder with a
+ * file missing.  It would vote and answer with the wrong state. */
 static void
-refuses_foreign_folders(void)
+rejects_wrong_or_incomplete_folders(void)
 {
     static const char *const names[] = {"identity", "snapshot", "log"};
     struct disk *d = disk_with_entries(8, true);
@@ -498,11 +503,11 @@
     }
 }
 
-/* If the mark were left out, a flipped bit in the last confirmed record would
- * pass for a torn write and be cut off.  This shows that the test above would
- * notice. */
+/* Without a mark, a flipped bit in the last acknowledged record is taken for a
+ * torn write, and the record is removed.  Shows that the bit flip test above
+ * detects a missing mark. */
 static void
-without_marks_a_loss_goes_unnoticed(void)
+missing_mark_hides_data_loss(void)
 {
     struct disk *d = fault_disk_new();
     struct storage_options o = options_on(d);
@@ -527,19 +532,22 @@
 void
 suite_storage(void)
 {
-    check_add("storage", "keeps_what_was_saved", keeps_what_was_saved);
+    check_add("storage", "saved_state_is_restored", saved_state_is_restored);
     check_add("storage", "works_on_files", works_on_files);
     check_add("storage", "power_loss_at_every_step", power_loss_at_every_step);
-    check_add("storage", "flipped_bit_anywhere", flipped_bit_anywhere);
-    check_add("storage", "nothing_after_a_failed_sync",
-              nothing_after_a_failed_sync);
-    check_add("storage", "full_disk", full_disk);
-    check_add("storage", "hint_never_costs_what_was_confirmed",
-              hint_never_costs_what_was_confirmed);
-    check_add("storage", "full_disk_takes_no_hint_and_goes_on",
-              full_disk_takes_no_hint_and_goes_on);
-    check_add("storage", "damaged_hint_is_none", damaged_hint_is_none);
-    check_add("storage", "refuses_foreign_folders", refuses_foreign_folders);
-    check_add("storage", "without_marks_a_loss_goes_unnoticed",
-              without_marks_a_loss_goes_unnoticed);
+    check_add("storage", "flipped_bit_is_detected_or_harmless",
+              flipped_bit_is_detected_or_harmless);
+    check_add("storage", "no_writes_after_a_failed_sync",
+              no_writes_after_a_failed_sync);
+    check_add("storage", "full_disk_keeps_acknowledged_entries",
+              full_disk_keeps_acknowledged_entries);
+    check_add("storage", "power_loss_in_hint_write_keeps_the_log",
+              power_loss_in_hint_write_keeps_the_log);
+    check_add("storage", "full_disk_for_hint_keeps_log_usable",
+              full_disk_for_hint_keeps_log_usable);
+    check_add("storage", "damaged_hint_is_ignored", damaged_hint_is_ignored);
+    check_add("storage", "rejects_wrong_or_incomplete_folders",
+              rejects_wrong_or_incomplete_folders);
+    check_add("storage", "missing_mark_hides_data_loss",
+              missing_mark_hides_data_loss);
 }
