--- a/src/disk.h
+++ b/src/disk.h
@@ -21,10 +21,11 @@
  * @append: writes at the end and creates the file if needed; on an error a
  *          part of the data may have been written
  * @truncate: shortens the file to @size bytes
- * @sync: makes the content of the file durable
+ * @sync: the content of the file is durable if it returns 0
  * @rename: replaces @to; durable after sync_folder
  * @remove: -ENOENT if there is no such file; durable after sync_folder
- * @sync_folder: makes file names (creation, rename, removal) durable
+ * @sync_folder: file names (creation, rename, removal) are durable if it
+ *               returns 0
  */
 struct disk_ops {
     int (*read)(struct disk *d, const char *name, char **data, size_t *size);
