--- a/src/bm_control.c
+++ b/src/bm_control.c
@@ -117,8 +117,9 @@
         (void)printf("%s: right\n", a->common.file);
     }
     else if (a->found) {
-        code = control_runtime_found(&s->runtime, &s->founding) ? EXIT_SUCCESS
-                                                                : EXIT_FAILURE;
+        code = control_runtime_bootstrap(&s->runtime, &s->founding)
+                   ? EXIT_SUCCESS
+                   : EXIT_FAILURE;
     }
     else if (a->recover) {
         code = recover(s);
--- a/src/bm_publish.c
+++ b/src/bm_publish.c
@@ -122,18 +122,19 @@
                : fail(CODE_UNREACHABLE, "control's answer makes no sense", "");
 }
 
-static struct publish_reach
-ask_reach(struct opclient *c, uint64_t version, struct publish_laggard *lag)
+static struct publish_rollout
+ask_reach(struct opclient *c, uint64_t version,
+          struct publish_lagging_instance *lag)
 {
     struct opclient_request request = {"GET", "/v1/status", "", NULL};
-    struct publish_reach reach;
+    struct publish_rollout reach;
     struct fetch_reply reply;
     json_t *json;
 
     (void)opclient_run(c, &request, &reply);
     json = reply.body != NULL ? json_loadb(reply.body, reply.size, 0, NULL)
                               : NULL;
-    reach = publish_laggards(json, version, lag, LAGGARDS_MAX);
+    reach = publish_list_lagging(json, version, lag, LAGGARDS_MAX);
     json_decref(json);
     fetch_reply_clear(&reply);
     return reach;
@@ -142,15 +143,15 @@
 /* Control forgets an instance that was silent for long, and does not know one
  * that has not asked yet; --instances says how many there must be. */
 static bool
-everywhere(const struct options *o, const struct publish_reach *reach)
+everywhere(const struct options *o, const struct publish_rollout *reach)
 {
     return reach->known && reach->lagging == 0 &&
            reach->in_force >= (size_t)o->instances;
 }
 
 static int
-name_laggards(const struct options *o, const struct publish_reach *reach,
-              const struct publish_laggard *lag)
+name_laggards(const struct options *o, const struct publish_rollout *reach,
+              const struct publish_lagging_instance *lag)
 {
     for (size_t i = 0; i < reach->lagging && i < LAGGARDS_MAX; i++) {
         (void)fprintf(
@@ -169,10 +170,10 @@
 wait_in_force(const struct options *o, struct opclient *c, uint64_t version)
 {
     const struct timespec pause = {.tv_nsec = POLL_MS * 1000000L};
-    struct publish_laggard lag[LAGGARDS_MAX];
+    struct publish_lagging_instance lag[LAGGARDS_MAX];
     int64_t began_us = clock_now(clock_real()).mono_us;
     int64_t until_us = began_us + o->wait_ms * USEC_PER_MSEC;
-    struct publish_reach reach = ask_reach(c, version, lag);
+    struct publish_rollout reach = ask_reach(c, version, lag);
 
     while (!everywhere(o, &reach) &&
            clock_now(clock_real()).mono_us < until_us) {
@@ -207,21 +208,21 @@
 {
     static const int codes[] = {
         [PUBLISH_ACCEPTED] = CODE_DONE,
-        [PUBLISH_TAKEN] = CODE_TAKEN,
+        [PUBLISH_CONFLICT] = CODE_TAKEN,
         [PUBLISH_REFUSED] = CODE_REFUSED,
         [PUBLISH_UNREACHABLE] = CODE_UNREACHABLE,
         [PUBLISH_UNKNOWN] = CODE_UNKNOWN,
     };
     static const char *const texts[] = {
-        [PUBLISH_TAKEN] = "nothing was changed",
+        [PUBLISH_CONFLICT] = "nothing was changed",
         [PUBLISH_REFUSED] = "refused, nothing was changed",
         [PUBLISH_UNREACHABLE] = "nobody took it, nothing was changed",
         [PUBLISH_UNKNOWN] = "outcome unknown; repeat with this request id",
     };
 
-    if (a->end != PUBLISH_ACCEPTED) {
+    if (a->outcome != PUBLISH_ACCEPTED) {
         (void)fprintf(stderr, "bm-publish: request id %s\n", o->request_id);
-        return fail(codes[a->end], texts[a->end], a->detail);
+        return fail(codes[a->outcome], texts[a->outcome], a->detail);
     }
     printf("version %llu accepted%s, request id %s\n",
            (unsigned long long)a->version, a->resend ? " earlier" : "",
--- a/src/broker.h
+++ b/src/broker.h
@@ -24,7 +24,7 @@
 /** broker_read_config - parses the text of a configuration; returns NULL and
  * sets *@fault if it is not valid */
 typedef struct queueconf *broker_read_config(const char *text, size_t size,
-                                             enum queueconf_fault *fault);
+                                             enum queueconf_error *fault);
 
 /* Deliberate faults: the fault matrix of leases must detect each of them.
  * BROKER_BREAK(NAME, description).  Only tests enable one. */
--- a/src/broker_config.c
+++ b/src/broker_config.c
@@ -233,7 +233,7 @@
 apply_text(struct broker *b, struct name from,
            const struct rec_config_reply *r, struct blob *text)
 {
-    enum queueconf_fault fault = QUEUECONF_OK;
+    enum queueconf_error fault = QUEUECONF_OK;
     struct queueconf *queues =
         b->opts.read_config(text->data, text->size, &fault);
     int64_t reported_us = b->fetch.first_reported_us > 0
@@ -244,7 +244,7 @@
         b->fetch.unreadable_version = r->version;
         broker_log(b, LOG_ERR, BROKER_CONFIG_BAD, 0, -1, from,
                    "version %llu: %s", (unsigned long long)r->version,
-                   queueconf_fault_text(fault));
+                   queueconf_error_text(fault));
         return;
     }
     queueconf_free(b->queues);
--- a/src/configdiff.c
+++ b/src/configdiff.c
@@ -53,9 +53,9 @@
         if (old != NULL && new != NULL && strcmp(old, new) != 0) {
             changed = true;
             if (out != NULL) {
-                (void)fprintf(out, "~ [%s %s] %s: %s -> %s\n", section->word,
-                              ((const struct name *)to)->s, key->name, old,
-                              new);
+                (void)fprintf(out, "~ [%s %s] %s: %s -> %s\n",
+                              section->keyword, ((const struct name *)to)->s,
+                              key->name, old, new);
             }
         }
         free(old);
@@ -69,7 +69,7 @@
               const char *name, FILE *out)
 {
     if (out != NULL) {
-        (void)fprintf(out, "%c [%s %s]\n", sign, section->word, name);
+        (void)fprintf(out, "%c [%s %s]\n", sign, section->keyword, name);
     }
 }
 
--- a/src/control.c
+++ b/src/control.c
@@ -150,7 +150,7 @@
 }
 
 static void
-load_entries(struct control *c, const struct storage_found *found)
+load_entries(struct control *c, const struct storage_contents *found)
 {
     for (size_t i = 0; i < found->n_entries; i++) {
         struct rec_log_entry e = found->entries[i];
@@ -162,7 +162,7 @@
 }
 
 static bool
-load_snapshot(struct control *c, const struct storage_found *found)
+load_snapshot(struct control *c, const struct storage_contents *found)
 {
     uint64_t index = 0;
     uint64_t term = 0;
@@ -183,7 +183,8 @@
 }
 
 struct control *
-control_new(const struct control_options *o, const struct storage_found *found)
+control_new(const struct control_options *o,
+            const struct storage_contents *found)
 {
     struct control *c = calloc(1, sizeof(*c));
 
--- a/src/control.h
+++ b/src/control.h
@@ -146,7 +146,7 @@
  * @out: the result
  *
  * Returns false when the snapshot cannot be read. */
-bool control_recover(const struct storage_found *found,
+bool control_recover(const struct storage_contents *found,
                      const struct rec_control_member *self, uint64_t time_us,
                      struct control_recovery *out);
 
@@ -155,7 +155,7 @@
 /** control_new() - creates a member from the state on its disk; NULL when the
  * snapshot cannot be read */
 struct control *control_new(const struct control_options *o,
-                            const struct storage_found *found);
+                            const struct storage_contents *found);
 
 /** control_free() - NULL is allowed */
 void control_free(struct control *c);
--- a/src/control_http.c
+++ b/src/control_http.c
@@ -337,7 +337,7 @@
     }
     *ctx = NULL;
     if (httpserver_take(&h->server, httpserver_number(&r->wait)) != NULL) {
-        h->opts.gone(h->opts.ctx, httpserver_number(&r->wait));
+        h->opts.on_client_gone(h->opts.ctx, httpserver_number(&r->wait));
     }
     if (r->replied) {
         control_effect_clear(&r->reply);
--- a/src/control_http.h
+++ b/src/control_http.h
@@ -23,7 +23,8 @@
  * @auth: checks signatures of changes; must outlive the server
  * @offer: queues an event and takes ownership of it; returns false if the
  *         queue is full, and the caller keeps the event then
- * @gone: called when the client of a pending request has disconnected
+ * @on_client_gone: called when the client of a pending request has
+ * disconnected
  * @healthy: whether a leader is known and this member is not shutting down
  * @metrics: IP:PORT of a separate listener for metrics; empty for none
  * @ctx: argument of the callbacks
@@ -36,7 +37,7 @@
     const struct clock *clock;
     struct opauth *auth;
     bool (*offer)(void *ctx, struct control_mail *m);
-    void (*gone)(void *ctx, uint64_t request);
+    void (*on_client_gone)(void *ctx, uint64_t request);
     bool (*healthy)(void *ctx);
     struct address metrics;
     void *ctx;
--- a/src/control_recover.c
+++ b/src/control_recover.c
@@ -22,7 +22,8 @@
 
 /* Index and term above all that the disk holds. */
 static void
-set_position(const struct storage_found *found, struct control_recovery *out)
+set_position(const struct storage_contents *found,
+             struct control_recovery *out)
 {
     uint64_t term = found->snapshot_term;
 
@@ -34,7 +35,7 @@
 }
 
 bool
-control_recover(const struct storage_found *found,
+control_recover(const struct storage_contents *found,
                 const struct rec_control_member *self, uint64_t time_us,
                 struct control_recovery *out)
 {
@@ -55,7 +56,7 @@
     }
     set_position(found, out);
     member.voter = 1;
-    member.disk = found->disk;
+    member.disk = found->disk_id;
     fsm_set_members(&f, &members);
     fsm_recover(&f, out->index, out->term, time_us);
     out->version = f.version;
--- a/src/control_runtime.c
+++ b/src/control_runtime.c
@@ -425,7 +425,7 @@
         return STORAGE_IO;
     }
     state = control_founding_state(members);
-    s.new_disk = control_founding_disk(o->region, o->control.self);
+    s.new_disk_id = control_founding_disk(o->region, o->control.self);
     err = storage_format(&s, CONTROL_FOUNDING_INDEX, CONTROL_FOUNDING_TERM,
                          state, detail);
     blob_unref(state);
@@ -445,8 +445,8 @@
 }
 
 bool
-control_runtime_found(const struct control_runtime_options *o,
-                      const struct rec_membership *members)
+control_runtime_bootstrap(const struct control_runtime_options *o,
+                          const struct rec_membership *members)
 {
     char detail[DETAIL_SIZE];
 
@@ -454,8 +454,8 @@
 }
 
 bool
-control_runtime_found_once(const struct control_runtime_options *o,
-                           const struct rec_membership *members)
+control_runtime_bootstrap_once(const struct control_runtime_options *o,
+                               const struct rec_membership *members)
 {
     char detail[DETAIL_SIZE];
     enum storage_error err = initialize_folder(o, members, detail);
@@ -482,7 +482,7 @@
                const struct rec_control_member *self, char *detail)
 {
     struct storage *s = NULL;
-    struct storage_found found;
+    struct storage_contents found;
     struct control_recovery r = {0};
     enum storage_error err = storage_open(opts, &s, &found, detail);
     uint64_t now_us = (uint64_t)clock_now(o->clock).wall_us;
@@ -503,7 +503,7 @@
                   (unsigned long long)r.version, self->name.s);
     }
     blob_unref(r.state);
-    storage_found_free(&found);
+    storage_contents_free(&found);
     storage_close(s);
     return err;
 }
@@ -520,7 +520,7 @@
     if (!open_folder(o, &disk, &s)) {
         return false;
     }
-    s.new_disk = new_disk_id();
+    s.new_disk_id = new_disk_id();
     err = recover_folder(o, &s, self, detail);
     disk_files_close(disk);
     if (err != STORAGE_OK) {
@@ -531,7 +531,7 @@
 }
 
 static bool
-open_storage(struct control_runtime *r, struct storage_found *found)
+open_storage(struct control_runtime *r, struct storage_contents *found)
 {
     struct storage_options s = {0};
     enum storage_error err;
@@ -540,14 +540,14 @@
     if (!open_folder(&r->opts, &r->folder, &s)) {
         return false;
     }
-    s.new_disk = new_disk_id();
+    s.new_disk_id = new_disk_id();
     err = storage_open(&s, &r->storage, found, detail);
     if (err != STORAGE_OK) {
         log_event(LOG_CRIT, "not-started", r->opts.data, "%s: %s",
                   storage_error_text(err), detail);
         return false;
     }
-    if (found->made) {
+    if (found->created) {
         log_event(LOG_WARNING, "data-folder-empty", r->opts.data,
                   r->opts.control.enroll
                       ? "no vote until this member has caught up with the "
@@ -555,21 +555,22 @@
                       : "no vote until an operator adds or replaces this "
                         "member");
     }
-    if (found->cut > 0) {
+    if (found->truncated_bytes > 0) {
         log_event(LOG_NOTICE, "log-tail-cut", r->opts.data,
                   "removed %llu bytes that were never acknowledged",
-                  (unsigned long long)found->cut);
+                  (unsigned long long)found->truncated_bytes);
     }
     return true;
 }
 
 static void
-restore_upstreams(struct control_runtime *r, const struct storage_found *found)
+restore_upstreams(struct control_runtime *r,
+                  const struct storage_contents *found)
 {
     const struct rec_upstream_report *report =
         &found->upstreams.u.upstream_report;
 
-    if (found->upstreams_bad) {
+    if (found->upstreams_unreadable) {
         log_event(LOG_NOTICE, "upstreams-not-recalled", r->opts.data,
                   "cannot read the file; upstreams are registered when they "
                   "announce themselves");
@@ -585,15 +586,15 @@
 static bool
 open_control(struct control_runtime *r)
 {
-    struct storage_found found;
+    struct storage_contents found;
 
     if (!open_storage(r, &found)) {
         return false;
     }
-    r->opts.control.disk = found.disk;
+    r->opts.control.disk = found.disk_id;
     r->control = control_new(&r->opts.control, &found);
     restore_upstreams(r, &found);
-    storage_found_free(&found);
+    storage_contents_free(&found);
     if (r->control == NULL) {
         log_event(LOG_CRIT, "not-started", r->opts.data,
                   "the snapshot cannot be read by this version");
@@ -625,7 +626,7 @@
         return false;
     }
     http.offer = on_offer;
-    http.gone = on_disconnect;
+    http.on_client_gone = on_disconnect;
     http.healthy = is_healthy;
     http.ctx = r;
     http.clock = r->opts.clock;
@@ -666,8 +667,8 @@
 }
 
 void
-control_runtime_contact(struct control_runtime *r, struct name name,
-                        struct address address)
+control_runtime_add_contact(struct control_runtime *r, struct name name,
+                            struct address address)
 {
     struct peer_remote remote = {.name = name, .address = address};
     struct control_mail *m = control_mail_new(CEV_CONTACT);
--- a/src/control_runtime.h
+++ b/src/control_runtime.h
@@ -37,20 +37,20 @@
 
 struct control_runtime;
 
-/** control_runtime_found() - initializes the data folder of a founding member;
- * returns false and logs the reason on an error */
-bool control_runtime_found(const struct control_runtime_options *o,
-                           const struct rec_membership *members);
+/** control_runtime_bootstrap() - initializes the data folder of a founding
+ * member; returns false and logs the reason on an error */
+bool control_runtime_bootstrap(const struct control_runtime_options *o,
+                               const struct rec_membership *members);
 
-/** control_runtime_found_once() - like control_runtime_found(), but returns
- * true if the folder is already initialized */
-bool control_runtime_found_once(const struct control_runtime_options *o,
-                                const struct rec_membership *members);
+/** control_runtime_bootstrap_once() - like control_runtime_bootstrap(), but
+ * returns true if the folder is already initialized */
+bool control_runtime_bootstrap_once(const struct control_runtime_options *o,
+                                    const struct rec_membership *members);
 
-/** control_runtime_contact() - adds a process that may be a member: opens a
- * connection, and queries the process while no leader is known */
-void control_runtime_contact(struct control_runtime *r, struct name name,
-                             struct address address);
+/** control_runtime_add_contact() - adds a process that may be a member: opens
+ * a connection, and queries the process while no leader is known */
+void control_runtime_add_contact(struct control_runtime *r, struct name name,
+                                 struct address address);
 
 /** control_runtime_recover() - makes this member the only one of its region,
  * with the state in its data folder; returns false and logs the reason on an
--- a/src/control_state.h
+++ b/src/control_state.h
@@ -177,7 +177,7 @@
     bool stopping;
     bool stop_reported; /* CE_STOPPED was emitted */
     bool needs_sync;    /* this step has effects on the disk */
-    bool pre;           /* candidate in the pre-vote phase */
+    bool pre_vote;      /* candidate in the pre-vote phase */
     bool forced; /* candidate: voters reply although they hear a leader */
     bool transfer_requested; /* leadership transfer requested */
     bool followers_changed;
--- a/src/election.c
+++ b/src/election.c
@@ -54,8 +54,8 @@
         if (to->voter == 0 || name_equal(to->name, c->opts.self)) {
             continue;
         }
-        m.u.vote.term = c->pre ? c->term + 1 : c->term;
-        m.u.vote.pre = c->pre ? 1 : 0;
+        m.u.vote.term = c->pre_vote ? c->term + 1 : c->term;
+        m.u.vote.pre = c->pre_vote ? 1 : 0;
         m.u.vote.last_index = clog_last(&c->log);
         m.u.vote.last_term = clog_last_term(&c->log);
         m.u.vote.forced = c->forced ? 1 : 0;
@@ -67,7 +67,7 @@
 campaign(struct control *c, bool pre, bool forced, uint64_t term)
 {
     c->role = CONTROL_CANDIDATE;
-    c->pre = pre;
+    c->pre_vote = pre;
     c->forced = forced;
     c->leader = name_of("");
     clear_votes(c);
@@ -109,7 +109,7 @@
     if (c->role != CONTROL_CANDIDATE || !quorum_votes_won(c)) {
         return;
     }
-    if (c->pre) {
+    if (c->pre_vote) {
         campaign(c, false, c->forced, c->term + 1);
         return;
     }
@@ -255,7 +255,7 @@
 yield_to_candidate(struct control *c)
 {
     if (!is_starting(c) || c->yielded ||
-        (c->role == CONTROL_CANDIDATE && !c->pre)) {
+        (c->role == CONTROL_CANDIDATE && !c->pre_vote)) {
         return;
     }
     c->yielded = true;
@@ -312,7 +312,7 @@
 election_on_vote_reply(struct control *c, struct name from,
                        const struct rec_vote_reply *r)
 {
-    uint64_t campaign_term = c->pre ? c->term + 1 : c->term;
+    uint64_t campaign_term = c->pre_vote ? c->term + 1 : c->term;
     struct progress *p = quorum_progress(c, from);
 
     if (p == NULL) {
@@ -322,7 +322,7 @@
         election_become_follower(c, r->term, name_of(""));
         return;
     }
-    if (c->role != CONTROL_CANDIDATE || r->pre != (c->pre ? 1 : 0) ||
+    if (c->role != CONTROL_CANDIDATE || r->pre != (c->pre_vote ? 1 : 0) ||
         r->for_term != campaign_term || r->granted == 0) {
         return;
     }
--- a/src/publish.c
+++ b/src/publish.c
@@ -34,14 +34,14 @@
                    string_member(winner, "summary"));
 }
 
-static enum publish_end
+static enum publish_outcome
 outcome_of(const struct fetch_reply *reply, bool unknown)
 {
     if (reply->error == FETCH_OK && reply->status == 200) {
         return PUBLISH_ACCEPTED;
     }
     if (reply->error == FETCH_OK && reply->status == 409) {
-        return PUBLISH_TAKEN;
+        return PUBLISH_CONFLICT;
     }
     /* An error status applies to this attempt only; an earlier attempt that
      * was not answered may have been accepted. */
@@ -56,20 +56,21 @@
 struct publish_answer
 publish_read(const struct fetch_reply *reply, bool unknown)
 {
-    struct publish_answer a = {.end = outcome_of(reply, unknown)};
+    struct publish_answer a = {.outcome = outcome_of(reply, unknown)};
     json_t *json = reply->body != NULL
                        ? json_loadb(reply->body, reply->size, 0, NULL)
                        : NULL;
 
     a.version = integer_member(json, "version");
     a.resend = json_is_true(json_object_get(json, "resend"));
-    if (a.end == PUBLISH_ACCEPTED && a.version == 0) {
-        a.end = PUBLISH_UNKNOWN; /* 200 from a server other than bm-control */
+    if (a.outcome == PUBLISH_ACCEPTED && a.version == 0) {
+        a.outcome =
+            PUBLISH_UNKNOWN; /* 200 from a server other than bm-control */
     }
-    if (a.end == PUBLISH_TAKEN) {
+    if (a.outcome == PUBLISH_CONFLICT) {
         describe_winner(json, &a);
     }
-    else if (a.end != PUBLISH_ACCEPTED) {
+    else if (a.outcome != PUBLISH_ACCEPTED) {
         (void)snprintf(
             a.detail, sizeof(a.detail), "%s, status %ld %.60s %.60s",
             fetch_error_text(reply->error), reply->status,
@@ -79,11 +80,11 @@
     return a;
 }
 
-static struct publish_laggard
+static struct publish_lagging_instance
 read_lagging_instance(const json_t *follower)
 {
-    struct publish_laggard l = {.version =
-                                    integer_member(follower, "version")};
+    struct publish_lagging_instance l = {
+        .version = integer_member(follower, "version")};
 
     (void)snprintf(l.instance, sizeof(l.instance), "%s",
                    string_member(follower, "instance"));
@@ -93,12 +94,12 @@
     return l;
 }
 
-struct publish_reach
-publish_laggards(const json_t *status, uint64_t version,
-                 struct publish_laggard *out, size_t room)
+struct publish_rollout
+publish_list_lagging(const json_t *status, uint64_t version,
+                     struct publish_lagging_instance *out, size_t room)
 {
     const json_t *followers = json_object_get(status, "followers");
-    struct publish_reach rollout = {.known = json_is_array(followers)};
+    struct publish_rollout rollout = {.known = json_is_array(followers)};
     const json_t *f;
     size_t i;
 
--- a/src/publish.h
+++ b/src/publish.h
@@ -10,10 +10,10 @@
 
 #include "fetch.h"
 
-/** enum publish_end - outcome of a publication */
-enum publish_end {
+/** enum publish_outcome - outcome of a publication */
+enum publish_outcome {
     PUBLISH_ACCEPTED,    /* durable on a majority */
-    PUBLISH_TAKEN,       /* another publication replaced the base first */
+    PUBLISH_CONFLICT,    /* another publication replaced the base first */
     PUBLISH_REFUSED,     /* nothing was changed; a retry would fail again */
     PUBLISH_UNREACHABLE, /* nothing was changed: no member accepted it */
     PUBLISH_UNKNOWN,     /* may be accepted; resend the same request id */
@@ -21,7 +21,7 @@
 
 /** struct publish_answer - content of an answer */
 struct publish_answer {
-    enum publish_end end;
+    enum publish_outcome outcome;
     uint64_t version; /* accepted, or in force now; 0 if not in the answer */
     bool resend;      /* accepted by an earlier request with this id */
     char detail[DETAIL_SIZE];
@@ -32,26 +32,27 @@
 struct publish_answer publish_read(const struct fetch_reply *reply,
                                    bool unknown);
 
-/** struct publish_laggard - an entry instance that does not have the version
- * yet; @heard_ms is the time since its last message */
-struct publish_laggard {
+/** struct publish_lagging_instance - an entry instance that does not have the
+ * version yet; @heard_ms is the time since its last message */
+struct publish_lagging_instance {
     char instance[NAME_SIZE];
     char zone[NAME_SIZE];
     uint64_t version;
     int64_t heard_ms;
 };
 
-/** struct publish_reach - roll-out of a version to entry instances */
-struct publish_reach {
+/** struct publish_rollout - roll-out of a version to entry instances */
+struct publish_rollout {
     bool known; /* the status lists the instances */
     size_t in_force;
     size_t lagging;
 };
 
-/** publish_laggards() - reads a status, counts the instances with and without
+/** publish_list_lagging() - reads a status, counts the instances with and
+ * without
  * @version, and writes up to @room of those without it to @out */
-struct publish_reach publish_laggards(const json_t *status, uint64_t version,
-                                      struct publish_laggard *out,
-                                      size_t room);
+struct publish_rollout
+publish_list_lagging(const json_t *status, uint64_t version,
+                     struct publish_lagging_instance *out, size_t room);
 
 #endif
--- a/src/queueconf.c
+++ b/src/queueconf.c
@@ -5,14 +5,14 @@
 #include <strings.h>
 
 const char *
-queueconf_fault_text(enum queueconf_fault f)
+queueconf_error_text(enum queueconf_error f)
 {
     static const char *const texts[] = {
         [QUEUECONF_OK] = "valid",
-        [QUEUECONF_UNREADABLE] = "cannot be read as a whole",
+        [QUEUECONF_MALFORMED] = "cannot be read as a whole",
         [QUEUECONF_UNKNOWN_SERVICE] = "a queue names an unknown service",
-        [QUEUECONF_SAME_PLACE] = "two queues share host and prefix",
-        [QUEUECONF_NO_TIMEOUT] = "a queue has a timeout of 0",
+        [QUEUECONF_DUPLICATE_ROUTE] = "two queues share host and prefix",
+        [QUEUECONF_ZERO_TIMEOUT] = "a queue has a timeout of 0",
     };
 
     return texts[f];
@@ -66,18 +66,18 @@
     return unique;
 }
 
-enum queueconf_fault
+enum queueconf_error
 queueconf_check(const struct queueconf *c)
 {
     for (size_t i = 0; i < c->n_queues; i++) {
         if (c->queues[i].timeout_us <= 0) {
-            return QUEUECONF_NO_TIMEOUT;
+            return QUEUECONF_ZERO_TIMEOUT;
         }
         if (!has_service(c, c->queues[i].service)) {
             return QUEUECONF_UNKNOWN_SERVICE;
         }
     }
-    return routes_unique(c) ? QUEUECONF_OK : QUEUECONF_SAME_PLACE;
+    return routes_unique(c) ? QUEUECONF_OK : QUEUECONF_DUPLICATE_ROUTE;
 }
 
 static size_t
--- a/src/queueconf.h
+++ b/src/queueconf.h
@@ -69,20 +69,20 @@
     size_t body_max;
 };
 
-/** enum queueconf_fault - why a configuration is invalid */
-enum queueconf_fault {
+/** enum queueconf_error - why a configuration is invalid */
+enum queueconf_error {
     QUEUECONF_OK,
-    QUEUECONF_UNREADABLE,      /* incomplete, or a field has a wrong type */
+    QUEUECONF_MALFORMED,       /* incomplete, or a field has a wrong type */
     QUEUECONF_UNKNOWN_SERVICE, /* a queue names an undefined service */
-    QUEUECONF_SAME_PLACE,      /* two queues have the same host and prefix */
-    QUEUECONF_NO_TIMEOUT,      /* the timeout of a queue is 0 */
+    QUEUECONF_DUPLICATE_ROUTE, /* two queues have the same host and prefix */
+    QUEUECONF_ZERO_TIMEOUT,    /* the timeout of a queue is 0 */
 };
 
-/** queueconf_fault_text() - short description of a fault */
-const char *queueconf_fault_text(enum queueconf_fault f);
+/** queueconf_error_text() - short description of a fault */
+const char *queueconf_error_text(enum queueconf_error f);
 
 /** queueconf_check() - validates a configuration */
-enum queueconf_fault queueconf_check(const struct queueconf *c);
+enum queueconf_error queueconf_check(const struct queueconf *c);
 
 /** queueconf_find() - the queue that serves a request, or NULL.  @path is the
  * path of the URL; a port in @host is ignored. */
--- a/src/queueconf_wire.c
+++ b/src/queueconf_wire.c
@@ -105,7 +105,7 @@
 }
 
 struct queueconf *
-queueconf_decode(const char *data, size_t size, enum queueconf_fault *fault)
+queueconf_decode(const char *data, size_t size, enum queueconf_error *fault)
 {
     struct queueconf *c = NULL;
     struct msg m;
@@ -114,6 +114,6 @@
         c = m.kind == MSG_QUEUES ? decode_list(&m.u.queues) : NULL;
         msg_free(&m);
     }
-    *fault = c != NULL ? QUEUECONF_OK : QUEUECONF_UNREADABLE;
+    *fault = c != NULL ? QUEUECONF_OK : QUEUECONF_MALFORMED;
     return c;
 }
--- a/src/queueconf_wire.h
+++ b/src/queueconf_wire.h
@@ -17,6 +17,6 @@
  * queueconf_free().  Returns NULL and sets *@fault if @data is malformed. Does
  * not call queueconf_check(): configurations are checked before encoding. */
 struct queueconf *queueconf_decode(const char *data, size_t size,
-                                   enum queueconf_fault *fault);
+                                   enum queueconf_error *fault);
 
 #endif
--- a/src/quorum.c
+++ b/src/quorum.c
@@ -89,7 +89,7 @@
 bool
 quorum_votes_won(const struct control *c)
 {
-    bool own = c->pre || c->hard_state_seq <= c->synced_seq ||
+    bool own = c->pre_vote || c->hard_state_seq <= c->synced_seq ||
                c->opts.breaks[CONTROL_BREAK_ACK_BEFORE_SYNC];
     size_t votes = own && quorum_self_is_voter(c) ? 1 : 0;
 
--- a/src/servicefile.c
+++ b/src/servicefile.c
@@ -81,9 +81,9 @@
                                                 &servicekey_teams};
 
     for (size_t i = 0; i < 2; i++) {
-        size_t n = strlen(kinds[i]->word);
+        size_t n = strlen(kinds[i]->keyword);
 
-        if (strncmp(title, kinds[i]->word, n) == 0 && title[n] == ' ') {
+        if (strncmp(title, kinds[i]->keyword, n) == 0 && title[n] == ' ') {
             *name = title + n + strspn(title + n, " ");
             return kinds[i];
         }
@@ -114,9 +114,9 @@
 set_defaults(struct section *s)
 {
     for (size_t i = 0; i < s->kind->n_keys; i++) {
-        if (s->kind->keys[i].def != NULL) {
-            (void)servicekey_parse(&s->kind->keys[i], s->kind->keys[i].def,
-                                   &s->u);
+        if (s->kind->keys[i].default_value != NULL) {
+            (void)servicekey_parse(&s->kind->keys[i],
+                                   s->kind->keys[i].default_value, &s->u);
         }
     }
 }
@@ -141,7 +141,7 @@
         add_error(l, l->file, l->line,
                   "\"%.40s\" is no name of a %s; allowed are 1 to %d of A-Z "
                   "a-z 0-9 . _ -",
-                  name, kind->word, NAME_SIZE - 1);
+                  name, kind->keyword, NAME_SIZE - 1);
         return;
     }
     s = add_section(l);
@@ -193,7 +193,7 @@
         return 1;
     }
     add_error(l, l->file, l->line, "key \"%.40s\" is unknown in [%s %s]", name,
-              s->kind->word, s->name.s);
+              s->kind->keyword, s->name.s);
     return 1;
 }
 
@@ -302,9 +302,10 @@
 check_required(struct loader *l, const struct section *s)
 {
     for (size_t i = 0; i < s->kind->n_keys; i++) {
-        if (s->kind->keys[i].def == NULL && !(s->keys_set & (1U << i))) {
-            add_error(l, s->file, s->line, "[%s %s] lacks %s", s->kind->word,
-                      s->name.s, s->kind->keys[i].name);
+        if (s->kind->keys[i].default_value == NULL &&
+            !(s->keys_set & (1U << i))) {
+            add_error(l, s->file, s->line, "[%s %s] lacks %s",
+                      s->kind->keyword, s->name.s, s->kind->keys[i].name);
         }
     }
 }
@@ -505,7 +506,7 @@
 print_section(FILE *f, const struct servicekey_section *kind, struct name name,
               const void *conf)
 {
-    (void)fprintf(f, "[%s %s]\n", kind->word, name.s);
+    (void)fprintf(f, "[%s %s]\n", kind->keyword, name.s);
     for (size_t i = 0; i < kind->n_keys; i++) {
         (void)fprintf(f, "%s = ", kind->keys[i].name);
         servicekey_print(f, &kind->keys[i], conf);
--- a/src/servicekey.c
+++ b/src/servicekey.c
@@ -64,10 +64,11 @@
     switch (key->kind) {
     case SERVICEKEY_NAME:
         (void)snprintf(out, size, "1 to %lld of A-Z a-z 0-9 . _ -",
-                       (long long)key->most);
+                       (long long)key->max_value);
         return;
     case SERVICEKEY_ZONES:
-        (void)snprintf(out, size, "up to %lld names", (long long)key->most);
+        (void)snprintf(out, size, "up to %lld names",
+                       (long long)key->max_value);
         return;
     case SERVICEKEY_FLAG:
         (void)snprintf(out, size, "true or false");
@@ -76,14 +77,14 @@
         (void)snprintf(out, size, "least-work, arrival or fair");
         return;
     case SERVICEKEY_MILLI:
-        format_milli(key->least, least, sizeof(least));
-        format_milli(key->most, most, sizeof(most));
+        format_milli(key->min_value, least, sizeof(least));
+        format_milli(key->max_value, most, sizeof(most));
         (void)snprintf(out, size, "%s to %s", least, most);
         return;
     case SERVICEKEY_COUNT:
     case SERVICEKEY_MSEC:
-        (void)snprintf(out, size, "%lld to %lld", (long long)key->least,
-                       (long long)key->most);
+        (void)snprintf(out, size, "%lld to %lld", (long long)key->min_value,
+                       (long long)key->max_value);
         return;
     }
 }
@@ -204,15 +205,15 @@
         *(struct name *)member = name_of(text);
         break;
     case SERVICEKEY_COUNT:
-        valid = parse_integer(text, key->least, key->most, &number);
+        valid = parse_integer(text, key->min_value, key->max_value, &number);
         *(uint32_t *)member = (uint32_t)number;
         break;
     case SERVICEKEY_MILLI:
-        valid = parse_milli(text, key->least, key->most, &number);
+        valid = parse_milli(text, key->min_value, key->max_value, &number);
         *(uint32_t *)member = (uint32_t)number;
         break;
     case SERVICEKEY_MSEC:
-        valid = parse_integer(text, key->least, key->most, &number);
+        valid = parse_integer(text, key->min_value, key->max_value, &number);
         *(int64_t *)member = number * USEC_PER_MSEC;
         break;
     case SERVICEKEY_FLAG:
--- a/src/servicekey.h
+++ b/src/servicekey.h
@@ -71,17 +71,17 @@
     const char *name;
     enum servicekey_kind kind;
     size_t offset; /* offset of the member in service_conf or team_conf */
-    int64_t least;
-    int64_t most;
-    const char *def;
+    int64_t min_value;
+    int64_t max_value;
+    const char *default_value;
     const char *unit;
-    const char *text;
+    const char *help_text;
 };
 
 /** struct servicekey_section - one kind of section: its keyword and its keys,
  * in the order of the canonical text */
 struct servicekey_section {
-    const char *word;
+    const char *keyword;
     const struct servicekey *keys;
     size_t n_keys;
 };
--- a/src/storage.c
+++ b/src/storage.c
@@ -48,7 +48,7 @@
         [STORAGE_IO] = "disk operation failed",
         [STORAGE_FULL] = "disk is full",
         [STORAGE_DAMAGED] = "data is damaged",
-        [STORAGE_FOREIGN] = "data folder belongs to another member",
+        [STORAGE_WRONG_MEMBER] = "data folder belongs to another member",
         [STORAGE_EXISTS] = "data folder is in use already",
         [STORAGE_MEMORY] = "out of memory",
     };
@@ -258,7 +258,7 @@
 }
 
 static enum storage_error
-add_entry(struct storage *s, struct storage_found *f, uint64_t offset,
+add_entry(struct storage *s, struct storage_contents *f, uint64_t offset,
           struct rec_log_entry *e)
 {
     if (f->n_entries % INITIAL_ENTRIES == 0) {
@@ -279,7 +279,7 @@
 }
 
 static enum storage_error
-apply_record(struct storage *s, struct storage_found *f, uint64_t offset,
+apply_record(struct storage *s, struct storage_contents *f, uint64_t offset,
              struct msg *m)
 {
     struct rec_log_entry *e = &m->u.log_entry;
@@ -305,7 +305,7 @@
 }
 
 static enum storage_error
-scan_log(struct storage *s, struct storage_found *f, const char *data,
+scan_log(struct storage *s, struct storage_contents *f, const char *data,
          size_t size)
 {
     size_t at = 0;
@@ -330,7 +330,7 @@
                             "an acknowledged record is damaged");
     }
     s->size = at;
-    f->cut = size - at;
+    f->truncated_bytes = size - at;
     return STORAGE_OK;
 }
 
@@ -561,7 +561,7 @@
 }
 
 void
-storage_found_free(struct storage_found *f)
+storage_contents_free(struct storage_contents *f)
 {
     for (size_t i = 0; i < f->n_entries; i++) {
         blob_unref(f->entries[i].data);
@@ -586,7 +586,7 @@
 }
 
 static enum storage_error
-read_snapshot(struct storage *s, struct storage_found *f)
+read_snapshot(struct storage *s, struct storage_contents *f)
 {
     struct msg m;
 
@@ -599,7 +599,7 @@
 }
 
 static enum storage_error
-read_vote(struct storage *s, struct storage_found *f)
+read_vote(struct storage *s, struct storage_contents *f)
 {
     struct msg m;
 
@@ -611,16 +611,16 @@
 }
 
 static void
-read_upstreams(const struct storage *s, struct storage_found *f)
+read_upstreams(const struct storage *s, struct storage_contents *f)
 {
     struct storage scratch = {.opts = s->opts};
 
     (void)read_record(&scratch, UPSTREAMS, MSG_UPSTREAM_REPORT, &f->upstreams);
-    f->upstreams_bad = scratch.failed != STORAGE_OK;
+    f->upstreams_unreadable = scratch.failed != STORAGE_OK;
 }
 
 static enum storage_error
-read_log(struct storage *s, struct storage_found *f)
+read_log(struct storage *s, struct storage_contents *f)
 {
     char *data = NULL;
     size_t size = 0;
@@ -637,7 +637,7 @@
 }
 
 static void
-drop_entries(struct storage_found *f, size_t n)
+drop_entries(struct storage_contents *f, size_t n)
 {
     for (size_t i = 0; i < n; i++) {
         blob_unref(f->entries[i].data);
@@ -652,7 +652,7 @@
  * snapshot's term; otherwise the snapshot came from a leader and replaced
  * them. */
 static enum storage_error
-finish_compaction(struct storage *s, struct storage_found *f)
+finish_compaction(struct storage *s, struct storage_contents *f)
 {
     size_t drop = f->snapshot_index - s->base;
     bool agrees =
@@ -666,7 +666,7 @@
 }
 
 static enum storage_error
-recover_log(struct storage *s, struct storage_found *f)
+recover_log(struct storage *s, struct storage_contents *f)
 {
     uint64_t snapshot = f->snapshot_index;
 
@@ -681,7 +681,7 @@
         return record_error(s, STORAGE_DAMAGED, SNAPSHOT, 0,
                             "its term differs from the start of the log");
     }
-    if (f->cut > 0 && truncate_log(s, s->size) != STORAGE_OK) {
+    if (f->truncated_bytes > 0 && truncate_log(s, s->size) != STORAGE_OK) {
         return s->failed;
     }
     if (s->base < snapshot) {
@@ -713,7 +713,7 @@
     msgpack_sbuffer_destroy(&out);
     m.u.disk_identity.member = s->opts.member;
     m.u.disk_identity.region = s->opts.region;
-    m.u.disk_identity.disk = s->opts.new_disk;
+    m.u.disk_identity.disk = s->opts.new_disk_id;
     return replace_record(s, IDENTITY, &m);
 }
 
@@ -722,7 +722,7 @@
 static enum storage_error
 check_uninitialized(struct storage *s)
 {
-    struct storage_found f = {0};
+    struct storage_contents f = {0};
     struct msg m;
     char *data = NULL;
     size_t size = 0;
@@ -738,13 +738,13 @@
                            "the file is missing");
     }
     s->n = 0;
-    storage_found_free(&f);
+    storage_contents_free(&f);
     free(data);
     return s->failed;
 }
 
 static enum storage_error
-read_identity(struct storage *s, struct storage_found *f)
+read_identity(struct storage *s, struct storage_contents *f)
 {
     struct msg m;
 
@@ -757,22 +757,22 @@
             s->detail, sizeof(s->detail),
             "%s: the folder belongs to member \"%s\" of region \"%s\"",
             IDENTITY, m.u.disk_identity.member.s, m.u.disk_identity.region.s);
-        s->failed = STORAGE_FOREIGN;
+        s->failed = STORAGE_WRONG_MEMBER;
         return s->failed;
     }
-    f->disk = m.u.disk_identity.disk;
+    f->disk_id = m.u.disk_identity.disk;
     return STORAGE_OK;
 }
 
 static enum storage_error
-recover(struct storage *s, struct storage_found *f)
+recover(struct storage *s, struct storage_contents *f)
 {
     if (read_identity(s, f) != STORAGE_OK) {
         return s->failed;
     }
-    if (f->disk == 0) {
-        f->made = true;
-        f->disk = s->opts.new_disk;
+    if (f->disk_id == 0) {
+        f->created = true;
+        f->disk_id = s->opts.new_disk_id;
         return check_uninitialized(s) == STORAGE_OK
                    ? initialize_folder(s, 0, 0, NULL)
                    : s->failed;
@@ -786,7 +786,7 @@
 
 enum storage_error
 storage_open(const struct storage_options *options, struct storage **out,
-             struct storage_found *found, char *detail)
+             struct storage_contents *found, char *detail)
 {
     struct storage *s = storage_new(options);
     enum storage_error err;
@@ -795,7 +795,7 @@
     err = recover(s, found);
     (void)snprintf(detail, DETAIL_SIZE, "%s", s->detail);
     if (err != STORAGE_OK) {
-        storage_found_free(found);
+        storage_contents_free(found);
         storage_close(s);
         s = NULL;
     }
@@ -808,10 +808,10 @@
                uint64_t term, struct blob *snapshot, char *detail)
 {
     struct storage *s = storage_new(options);
-    struct storage_found found = {0};
+    struct storage_contents found = {0};
     enum storage_error err = read_identity(s, &found);
 
-    if (err == STORAGE_OK && found.disk != 0) {
+    if (err == STORAGE_OK && found.disk_id != 0) {
         err = record_error(s, STORAGE_EXISTS, IDENTITY, 0,
                            "the folder is in use");
     }
--- a/src/storage.h
+++ b/src/storage.h
@@ -35,11 +35,11 @@
 
 enum storage_error {
     STORAGE_OK,
-    STORAGE_IO,      /* a disk operation failed */
-    STORAGE_FULL,    /* no space left on the disk */
-    STORAGE_DAMAGED, /* acknowledged data is missing or corrupt */
-    STORAGE_FOREIGN, /* the folder belongs to another member */
-    STORAGE_EXISTS,  /* the folder is already initialized */
+    STORAGE_IO,           /* a disk operation failed */
+    STORAGE_FULL,         /* no space left on the disk */
+    STORAGE_DAMAGED,      /* acknowledged data is missing or corrupt */
+    STORAGE_WRONG_MEMBER, /* the folder belongs to another member */
+    STORAGE_EXISTS,       /* the folder is already initialized */
     STORAGE_MEMORY,
 };
 
@@ -54,7 +54,7 @@
  * @disk: first argument of @ops
  * @member: member that the folder must belong to
  * @region: region that the folder must belong to
- * @new_disk: disk identity for an empty folder; random, not 0
+ * @new_disk_id: disk identity for an empty folder; random, not 0
  * @skip_mark: acknowledge without a mark; only for a test that shows why marks
  *             are needed
  */
@@ -63,15 +63,15 @@
     struct disk *disk;
     struct name member;
     struct name region;
-    uint64_t new_disk;
+    uint64_t new_disk_id;
     bool skip_mark;
 };
 
-/** struct storage_found - contents of a data folder, to be freed with
- * storage_found_free() */
-struct storage_found {
-    uint64_t disk; /* disk identity of the folder */
-    bool made;     /* the folder was empty and has been initialized */
+/** struct storage_contents - contents of a data folder, to be freed with
+ * storage_contents_free() */
+struct storage_contents {
+    uint64_t disk_id; /* disk identity of the folder */
+    bool created;     /* the folder was empty and has been initialized */
     uint64_t term;
     struct name vote;
     uint64_t snapshot_index; /* 0: no snapshot */
@@ -79,12 +79,13 @@
     struct blob *snapshot;
     struct rec_log_entry *entries; /* after the snapshot, in order */
     size_t n_entries;
-    uint64_t cut;         /* size in bytes of a torn tail that was removed */
+    uint64_t
+        truncated_bytes;  /* size in bytes of a torn tail that was removed */
     struct msg upstreams; /* MSG_UPSTREAM_REPORT; empty if there is no hint */
-    bool upstreams_bad;   /* the hint exists but could not be read */
+    bool upstreams_unreadable; /* the hint exists but could not be read */
 };
 
-void storage_found_free(struct storage_found *f);
+void storage_contents_free(struct storage_contents *f);
 
 /** storage_format() - initializes an empty folder for a founding member, with
  * @snapshot as its state and @options->new_disk as its disk identity.  On an
@@ -97,7 +98,7 @@
  * error @detail (DETAIL_SIZE bytes) names file, offset and cause. */
 enum storage_error storage_open(const struct storage_options *options,
                                 struct storage **out,
-                                struct storage_found *found, char *detail);
+                                struct storage_contents *found, char *detail);
 
 /** storage_close() - does not sync; NULL is allowed */
 void storage_close(struct storage *s);
--- a/src/vcontrol.c
+++ b/src/vcontrol.c
@@ -71,7 +71,7 @@
 
     c->life++;
     o.self = n->control_names[i];
-    o.disk = c->disk.found.disk;
+    o.disk = c->disk.found.disk_id;
     o.n_configured = VCONTROLS;
     memcpy(o.configured, n->control_names, sizeof(n->control_names));
     o.seed = n->opts.seed * 1000 + i + c->life * 131;
--- a/src/vdisk.c
+++ b/src/vdisk.c
@@ -24,7 +24,7 @@
 static void
 drop_tail(struct vdisk *d, uint64_t from)
 {
-    struct storage_found *f = &d->found;
+    struct storage_contents *f = &d->found;
 
     while (f->n_entries > 0 && f->entries[f->n_entries - 1].index >= from) {
         blob_unref(f->entries[--f->n_entries].data);
@@ -34,7 +34,7 @@
 static void
 drop_head(struct vdisk *d, uint64_t to)
 {
-    struct storage_found *f = &d->found;
+    struct storage_contents *f = &d->found;
     size_t n = 0;
 
     while (n < f->n_entries && f->entries[n].index <= to) {
@@ -88,7 +88,7 @@
 void
 vdisk_format(struct vdisk *d, uint64_t disk, struct blob *state)
 {
-    d->found.disk = disk;
+    d->found.disk_id = disk;
     d->found.term = CONTROL_FOUNDING_TERM;
     d->found.snapshot_index = CONTROL_FOUNDING_INDEX;
     d->found.snapshot_term = CONTROL_FOUNDING_TERM;
@@ -141,5 +141,5 @@
 {
     vdisk_crash(d);
     free(d->work);
-    storage_found_free(&d->found);
+    storage_contents_free(&d->found);
 }
--- a/src/vdisk.h
+++ b/src/vdisk.h
@@ -10,8 +10,8 @@
 #include "control.h"
 
 struct vdisk {
-    struct storage_found found;  /* durable */
-    struct control_effect *work; /* written, not synced */
+    struct storage_contents found; /* durable */
+    struct control_effect *work;   /* written, not synced */
     size_t n_work;
     size_t room;
 };
--- a/src/vlease.c
+++ b/src/vlease.c
@@ -118,7 +118,7 @@
 /* Configuration: a line a queue, "NAME PRIORITY TIMEOUT_US". */
 
 struct queueconf *
-vlease_read_config(const char *text, size_t size, enum queueconf_fault *fault)
+vlease_read_config(const char *text, size_t size, enum queueconf_error *fault)
 {
     struct queueconf *c = calloc(1, sizeof(*c));
     int used = 0;
--- a/src/vlease_state.h
+++ b/src/vlease_state.h
@@ -209,7 +209,7 @@
 
 /** vlease_read_config() - what the brokers read their configuration with */
 struct queueconf *vlease_read_config(const char *text, size_t size,
-                                     enum queueconf_fault *fault);
+                                     enum queueconf_error *fault);
 
 /* vleaseup.c */
 
--- a/tests/broker_scale_test.c
+++ b/tests/broker_scale_test.c
@@ -22,7 +22,7 @@
                                         .stretch = 1.6};
 
 static struct queueconf *
-read_one_queue(const char *text, size_t size, enum queueconf_fault *fault)
+read_one_queue(const char *text, size_t size, enum queueconf_error *fault)
 {
     struct queueconf *c = calloc(1, sizeof(*c));
 
--- a/tests/cluster.c
+++ b/tests/cluster.c
@@ -48,7 +48,7 @@
         .disk = cl->nodes[i].disk,
         .member = cl->nodes[i].name,
         .region = name_of(REGION),
-        .new_disk = cl->nodes[i].disk_identity,
+        .new_disk_id = cl->nodes[i].disk_identity,
     };
 }
 
@@ -404,7 +404,7 @@
     struct storage_options o = disk_options(cl, i);
     struct control_options co = cl->options;
     struct control_event ev = {.kind = CEV_TICK};
-    struct storage_found found;
+    struct storage_contents found;
     char detail[DETAIL_SIZE];
 
     if (n->control != NULL) {
@@ -415,10 +415,10 @@
         return;
     }
     co.self = n->name;
-    co.disk = found.disk;
+    co.disk = found.disk_id;
     co.seed = cluster_random(cl, UINT64_MAX);
     n->control = control_new(&co, &found);
-    storage_found_free(&found);
+    storage_contents_free(&found);
     if (n->control == NULL) {
         cluster_violation(cl, "%s cannot read its snapshot", n->name.s);
         return;
@@ -451,7 +451,7 @@
     };
     struct control_recovery r = {0};
     struct storage *s = NULL;
-    struct storage_found found;
+    struct storage_contents found;
     char detail[DETAIL_SIZE];
 
     if (storage_open(&o, &s, &found, detail) != STORAGE_OK ||
@@ -462,7 +462,7 @@
         cluster_violation(cl, "%s cannot be recovered", cl->nodes[i].name.s);
     }
     blob_unref(r.state);
-    storage_found_free(&found);
+    storage_contents_free(&found);
     storage_close(s);
 }
 
--- a/tests/config_spread_test.c
+++ b/tests/config_spread_test.c
@@ -51,14 +51,14 @@
 
 /* Parser of the test: the first number in the text is the rank. */
 static struct queueconf *
-read_rank(const char *text, size_t size, enum queueconf_fault *fault)
+read_rank(const char *text, size_t size, enum queueconf_error *fault)
 {
     struct queueconf *c = calloc(1, sizeof(*c));
 
     (void)size;
     *fault = QUEUECONF_OK;
     if (strcmp(text, UNREADABLE) == 0) {
-        *fault = QUEUECONF_UNREADABLE;
+        *fault = QUEUECONF_MALFORMED;
         free(c);
         return NULL;
     }
--- a/tests/control_http_test.c
+++ b/tests/control_http_test.c
@@ -59,7 +59,7 @@
         .idle_timeout_s = 30,
         .clock = clock_real(),
         .offer = on_offer,
-        .gone = on_gone,
+        .on_client_gone = on_gone,
         .healthy = is_healthy,
         .ctx = s,
     };
--- a/tests/control_test.c
+++ b/tests/control_test.c
@@ -299,7 +299,7 @@
     int leader = cluster_await_leader(cl);
     int partitioned = (leader + 1) % 3;
     struct storage *s = NULL;
-    struct storage_found found;
+    struct storage_contents found;
     struct storage_options o = {
         .ops = fault_disk_ops(),
         .disk = cl->nodes[partitioned].disk,
@@ -318,7 +318,7 @@
     cluster_crash(cl, partitioned);
     CU_ASSERT_EQUAL(storage_open(&o, &s, &found, detail), STORAGE_OK);
     CU_ASSERT_EQUAL(storage_save_vote(s, 1000, name_of("")), STORAGE_OK);
-    storage_found_free(&found);
+    storage_contents_free(&found);
     storage_close(s);
     cluster_start(cl, partitioned);
     cl->nodes[partitioned].isolated = false;
--- a/tests/platform_test.c
+++ b/tests/platform_test.c
@@ -24,7 +24,7 @@
 static const struct {
     const char *what;
     const char *text;
-    enum queueconf_fault fault;
+    enum queueconf_error fault;
 } configs[] = {
     {"good", "{\"version\":7,\"routes\":[" ROUTE "]," SERVICES "}",
      QUEUECONF_OK},
@@ -33,47 +33,47 @@
      "{\"version\":7,\"x\":{},\"routes\":[]," SERVICES ",\"limits\":{}}",
      QUEUECONF_OK},
     {"cut short", "{\"version\":7,\"routes\":[" ROUTE "]," SERVICES,
-     QUEUECONF_UNREADABLE},
-    {"empty", "", QUEUECONF_UNREADABLE},
-    {"not an object", "[]", QUEUECONF_UNREADABLE},
-    {"no version", "{\"routes\":[]," SERVICES "}", QUEUECONF_UNREADABLE},
+     QUEUECONF_MALFORMED},
+    {"empty", "", QUEUECONF_MALFORMED},
+    {"not an object", "[]", QUEUECONF_MALFORMED},
+    {"no version", "{\"routes\":[]," SERVICES "}", QUEUECONF_MALFORMED},
     {"version as text", "{\"version\":\"7\",\"routes\":[]," SERVICES "}",
-     QUEUECONF_UNREADABLE},
+     QUEUECONF_MALFORMED},
     {"version 0", "{\"version\":0,\"routes\":[]," SERVICES "}",
-     QUEUECONF_UNREADABLE},
-    {"no services", "{\"version\":7,\"routes\":[]}", QUEUECONF_UNREADABLE},
+     QUEUECONF_MALFORMED},
+    {"no services", "{\"version\":7,\"routes\":[]}", QUEUECONF_MALFORMED},
     {"routes as object", "{\"version\":7,\"routes\":{}," SERVICES "}",
-     QUEUECONF_UNREADABLE},
+     QUEUECONF_MALFORMED},
     {"unknown service",
      "{\"version\":7,\"routes\":[" ROUTE "],\"services\":[]}",
      QUEUECONF_UNKNOWN_SERVICE},
     {"same place",
      "{\"version\":7,\"routes\":[" ROUTE "," ROUTE "]," SERVICES "}",
-     QUEUECONF_SAME_PLACE},
+     QUEUECONF_DUPLICATE_ROUTE},
     {"no timeout",
      "{\"version\":7,\"routes\":[{\"name\":\"r1\",\"host\":\"a\","
      "\"path-prefix\":\"/p/\",\"timeout-ms\":0,\"service\":\"s1\"}]," SERVICES
      "}",
-     QUEUECONF_NO_TIMEOUT},
+     QUEUECONF_ZERO_TIMEOUT},
     {"route without host",
      "{\"version\":7,\"routes\":[{\"name\":\"r1\",\"path-prefix\":\"/p/\","
      "\"timeout-ms\":5,\"service\":\"s1\"}]," SERVICES "}",
-     QUEUECONF_UNREADABLE},
+     QUEUECONF_MALFORMED},
     {"bytes that are no text", "{\"version\":7,\"x\":\"\xff\xfe\"}",
-     QUEUECONF_UNREADABLE},
+     QUEUECONF_MALFORMED},
 };
 
 static void
 configurations(void)
 {
     for (size_t i = 0; i < sizeof(configs) / sizeof(configs[0]); i++) {
-        enum queueconf_fault fault = QUEUECONF_OK;
+        enum queueconf_error fault = QUEUECONF_OK;
         struct queueconf *c = platform_config_read(
             configs[i].text, strlen(configs[i].text), &fault);
 
         if (fault != configs[i].fault) {
             (void)fprintf(stderr, "configuration %s: %s\n", configs[i].what,
-                          queueconf_fault_text(fault));
+                          queueconf_error_text(fault));
         }
         CU_ASSERT_EQUAL(fault, configs[i].fault);
         CU_ASSERT_EQUAL(c != NULL, fault == QUEUECONF_OK);
@@ -84,7 +84,7 @@
 static void
 configuration_fields(void)
 {
-    enum queueconf_fault fault;
+    enum queueconf_error fault;
     struct queueconf *c =
         platform_config_read(configs[0].text, strlen(configs[0].text), &fault);
 
@@ -121,7 +121,7 @@
 static void
 brokers_get_what_was_published(void)
 {
-    enum queueconf_fault fault;
+    enum queueconf_error fault;
     struct queueconf *c =
         platform_config_read(configs[0].text, strlen(configs[0].text), &fault);
     struct blob *text = blob_new(configs[0].text, strlen(configs[0].text));
@@ -141,7 +141,7 @@
     CU_ASSERT_EQUAL(d->services[0].guarded, c->services[0].guarded);
     for (size_t n = 0; n < data->size; n++) {
         CU_ASSERT_PTR_NULL(queueconf_decode(data->data, n, &fault));
-        CU_ASSERT_EQUAL(fault, QUEUECONF_UNREADABLE);
+        CU_ASSERT_EQUAL(fault, QUEUECONF_MALFORMED);
     }
     queueconf_free(c);
     queueconf_free(d);
--- a/tests/publish_test.c
+++ b/tests/publish_test.c
@@ -63,12 +63,12 @@
                                 .size = strlen(copy)};
 }
 
-static enum publish_end
+static enum publish_outcome
 outcome_of(enum fetch_error error, long status, const char *body, bool unknown)
 {
     struct fetch_reply reply = reply_of(error, status, body);
 
-    return publish_read(&reply, unknown).end;
+    return publish_read(&reply, unknown).outcome;
 }
 
 /* The connection breaks after a change was sent.  The outcome is unknown then:
@@ -97,7 +97,7 @@
                      "{\"version\":9,\"winner\":{\"version\":8,"
                      "\"operator\":\"bob\",\"summary\":\"x\"}}");
     a = publish_read(&reply, true);
-    CU_ASSERT_EQUAL(a.end, PUBLISH_TAKEN);
+    CU_ASSERT_EQUAL(a.outcome, PUBLISH_CONFLICT);
     CU_ASSERT_EQUAL(a.version, 9);
     CU_ASSERT_PTR_NOT_NULL(strstr(a.detail, "version 8 by bob"));
 }
@@ -109,14 +109,14 @@
         "{\"followers\":[{\"instance\":\"e1\",\"version\":8},"
         "{\"instance\":\"e2\",\"zone\":\"z\",\"version\":7,\"heard_ms\":3}]}",
         0, NULL);
-    struct publish_laggard lag[1];
+    struct publish_lagging_instance lag[1];
 
-    CU_ASSERT_EQUAL(publish_laggards(status, 7, lag, 1).lagging, 0);
-    CU_ASSERT_EQUAL(publish_laggards(status, 7, lag, 1).in_force, 2);
-    CU_ASSERT_EQUAL(publish_laggards(status, 8, lag, 1).lagging, 1);
+    CU_ASSERT_EQUAL(publish_list_lagging(status, 7, lag, 1).lagging, 0);
+    CU_ASSERT_EQUAL(publish_list_lagging(status, 7, lag, 1).in_force, 2);
+    CU_ASSERT_EQUAL(publish_list_lagging(status, 8, lag, 1).lagging, 1);
     CU_ASSERT_STRING_EQUAL(lag[0].instance, "e2");
-    CU_ASSERT_EQUAL(publish_laggards(status, 9, lag, 1).lagging, 2);
-    CU_ASSERT_FALSE(publish_laggards(NULL, 8, lag, 1).known);
+    CU_ASSERT_EQUAL(publish_list_lagging(status, 9, lag, 1).lagging, 2);
+    CU_ASSERT_FALSE(publish_list_lagging(NULL, 8, lag, 1).known);
     json_decref(status);
 }
 
--- a/tests/servicefile_test.c
+++ b/tests/servicefile_test.c
@@ -176,10 +176,10 @@
     servicekey_range(key, range, sizeof(range));
     (void)snprintf(row, sizeof(row), "| `%s` | %s | %s | %s | %s |\n",
                    key->name, key->unit, range,
-                   key->def == NULL      ? "required"
-                   : key->def[0] == '\0' ? "none"
-                                         : key->def,
-                   key->text);
+                   key->default_value == NULL      ? "required"
+                   : key->default_value[0] == '\0' ? "none"
+                                                   : key->default_value,
+                   key->help_text);
     if (strstr(doc, row) == NULL) {
         (void)fprintf(stderr, "docs/service-files.md lacks: %s", row);
     }
--- a/tests/storage_test.c
+++ b/tests/storage_test.c
@@ -18,7 +18,7 @@
         .disk = d,
         .member = name_of("c1"),
         .region = name_of("sk-east"),
-        .new_disk = 77,
+        .new_disk_id = 77,
     };
 }
 
@@ -54,7 +54,7 @@
 }
 
 static struct storage *
-open_on(struct disk *d, struct storage_found *f)
+open_on(struct disk *d, struct storage_contents *f)
 {
     struct storage_options o = options_on(d);
     struct storage *s = NULL;
@@ -68,13 +68,13 @@
 saved_state_is_restored(void)
 {
     struct disk *d = fault_disk_new();
-    struct storage_found f;
+    struct storage_contents f;
     struct storage *s = open_on(d, &f);
     struct blob *state = blob_new("state", 5);
 
     CU_ASSERT_TRUE_FATAL(s != NULL);
-    CU_ASSERT_TRUE(f.made);
-    CU_ASSERT_EQUAL(f.disk, 77);
+    CU_ASSERT_TRUE(f.created);
+    CU_ASSERT_EQUAL(f.disk_id, 77);
     CU_ASSERT_EQUAL(storage_save_vote(s, 3, name_of("c2")), STORAGE_OK);
     for (uint64_t i = 1; i <= 9; i++) {
         CU_ASSERT_EQUAL(append_synced(s, i, 3), STORAGE_OK);
@@ -86,14 +86,14 @@
     fault_disk_crash(d, 0);
     s = open_on(d, &f);
     CU_ASSERT_TRUE_FATAL(s != NULL);
-    CU_ASSERT_FALSE(f.made);
+    CU_ASSERT_FALSE(f.created);
     CU_ASSERT_EQUAL(f.term, 3);
     CU_ASSERT_STRING_EQUAL(f.vote.s, "c2");
     CU_ASSERT_EQUAL(f.snapshot_index, 4);
     CU_ASSERT_EQUAL(f.n_entries, 4);
     CU_ASSERT_EQUAL(f.entries[0].index, 5);
     CU_ASSERT_EQUAL(f.entries[3].term, 5);
-    storage_found_free(&f);
+    storage_contents_free(&f);
     storage_close(s);
     blob_unref(state);
     fault_disk_free(d);
@@ -104,7 +104,7 @@
 {
     char folder[] = "/tmp/bm-storage-XXXXXX";
     struct storage_options o = options_on(NULL);
-    struct storage_found f;
+    struct storage_contents f;
     struct storage *s = NULL;
     char detail[DETAIL_SIZE];
     struct disk *second = NULL;
@@ -120,7 +120,7 @@
     CU_ASSERT_EQUAL(storage_open(&o, &s, &f, detail), STORAGE_OK);
     CU_ASSERT_EQUAL(f.term, 2);
     CU_ASSERT_EQUAL(f.n_entries, 1);
-    storage_found_free(&f);
+    storage_contents_free(&f);
     storage_close(s);
     for (const char *const *name =
              (const char *const[]){"log", "vote", "identity", NULL};
@@ -180,7 +180,7 @@
 }
 
 static void
-check_contents(const struct storage_found *f, const struct acknowledged *a)
+check_contents(const struct storage_contents *f, const struct acknowledged *a)
 {
     uint64_t last = f->snapshot_index + f->n_entries;
 
@@ -210,7 +210,7 @@
         for (uint64_t seed = 0; seed < SEEDS; seed++) {
             struct disk *d = fault_disk_new();
             struct acknowledged a = {0};
-            struct storage_found f;
+            struct storage_contents f;
             struct storage *s;
 
             if (steps == 0) {
@@ -233,7 +233,7 @@
             CU_ASSERT_PTR_NOT_NULL(s);
             if (s != NULL) {
                 check_contents(&f, &a);
-                storage_found_free(&f);
+                storage_contents_free(&f);
             }
             storage_close(s);
             fault_disk_free(d);
@@ -246,7 +246,7 @@
 disk_with_entries(uint64_t n, bool snapshot)
 {
     struct disk *d = fault_disk_new();
-    struct storage_found f;
+    struct storage_contents f;
     struct storage *s = open_on(d, &f);
     struct blob *state = blob_new("state", 5);
 
@@ -278,7 +278,7 @@
         for (size_t at = 0; at < size; at++) {
             struct disk *d = disk_with_entries(8, true);
             struct storage_options o = options_on(d);
-            struct storage_found f;
+            struct storage_contents f;
             struct storage *s = NULL;
             char detail[DETAIL_SIZE];
             enum storage_error err;
@@ -289,7 +289,7 @@
             if (err == STORAGE_OK) {
                 CU_ASSERT_EQUAL(f.snapshot_index + f.n_entries, 8);
                 CU_ASSERT_EQUAL(f.term, 1);
-                storage_found_free(&f);
+                storage_contents_free(&f);
             }
             else {
                 refused++;
@@ -311,7 +311,7 @@
 no_writes_after_a_failed_sync(void)
 {
     struct disk *d = fault_disk_new();
-    struct storage_found f;
+    struct storage_contents f;
     struct storage *s = open_on(d, &f);
 
     CU_ASSERT_EQUAL(append_synced(s, 1, 1), STORAGE_OK);
@@ -327,7 +327,7 @@
     CU_ASSERT_PTR_NOT_NULL_FATAL(s);
     CU_ASSERT_EQUAL(f.n_entries, 1);
     CU_ASSERT_EQUAL(f.term, 0);
-    storage_found_free(&f);
+    storage_contents_free(&f);
     storage_close(s);
     fault_disk_free(d);
 }
@@ -339,13 +339,13 @@
 {
     for (uint64_t room = 1; room < 400; room += 7) {
         struct disk *d = disk_with_entries(4, false);
-        struct storage_found f;
+        struct storage_contents f;
         struct storage *s = open_on(d, &f);
         size_t used = fault_disk_size(d, "log") + fault_disk_size(d, "vote") +
                       fault_disk_size(d, "identity");
         uint64_t last = 4;
 
-        storage_found_free(&f);
+        storage_contents_free(&f);
         fault_disk_plan(d, (struct fault_plan){.capacity = used + room});
         while (append_synced(s, last + 1, 1) == STORAGE_OK) {
             last++;
@@ -356,7 +356,7 @@
         s = open_on(d, &f);
         CU_ASSERT_PTR_NOT_NULL_FATAL(s);
         CU_ASSERT_TRUE(f.n_entries >= last);
-        storage_found_free(&f);
+        storage_contents_free(&f);
         storage_close(s);
         fault_disk_free(d);
     }
@@ -388,7 +388,7 @@
 static void
 check_hint(struct disk *d, uint64_t entries)
 {
-    struct storage_found f;
+    struct storage_contents f;
     struct storage *s = open_on(d, &f);
     const struct rec_upstream_report *kept = &f.upstreams.u.upstream_report;
 
@@ -398,7 +398,7 @@
         CU_ASSERT_EQUAL_FATAL(kept->n_upstreams, 1);
         CU_ASSERT_EQUAL(kept->upstreams[0].born_ms, 7);
     }
-    storage_found_free(&f);
+    storage_contents_free(&f);
     storage_close(s);
 }
 
@@ -411,10 +411,10 @@
     for (uint64_t at = 1; at <= 8; at++) {
         for (uint64_t seed = 0; seed < SEEDS; seed++) {
             struct disk *d = disk_with_entries(4, false);
-            struct storage_found f;
+            struct storage_contents f;
             struct storage *s = open_on(d, &f);
 
-            storage_found_free(&f);
+            storage_contents_free(&f);
             save_hint(s, "up1");
             fault_disk_plan(d, (struct fault_plan){.power_at = at});
             save_hint(s, "up2");
@@ -432,12 +432,12 @@
 full_disk_for_hint_keeps_log_usable(void)
 {
     struct disk *d = disk_with_entries(4, false);
-    struct storage_found f;
+    struct storage_contents f;
     struct storage *s = open_on(d, &f);
     size_t used = fault_disk_size(d, "log") + fault_disk_size(d, "vote") +
                   fault_disk_size(d, "identity");
 
-    storage_found_free(&f);
+    storage_contents_free(&f);
     fault_disk_plan(d, (struct fault_plan){.capacity = used + 8});
     save_hint(s, "up1");
     fault_disk_plan(d, (struct fault_plan){0});
@@ -453,11 +453,11 @@
 damaged_hint_is_ignored(void)
 {
     struct disk *d = disk_with_entries(4, false);
-    struct storage_found f;
+    struct storage_contents f;
     struct storage *s = open_on(d, &f);
     size_t size;
 
-    storage_found_free(&f);
+    storage_contents_free(&f);
     save_hint(s, "up1");
     storage_close(s);
     size = fault_disk_size(d, "upstreams");
@@ -466,10 +466,10 @@
         fault_disk_flip(d, "upstreams", i);
         s = open_on(d, &f);
         CU_ASSERT_PTR_NOT_NULL_FATAL(s);
-        CU_ASSERT_TRUE(f.upstreams_bad);
+        CU_ASSERT_TRUE(f.upstreams_unreadable);
         CU_ASSERT_NOT_EQUAL(f.upstreams.kind, MSG_UPSTREAM_REPORT);
         CU_ASSERT_EQUAL(f.n_entries, 4);
-        storage_found_free(&f);
+        storage_contents_free(&f);
         storage_close(s);
         fault_disk_flip(d, "upstreams", i);
     }
@@ -485,14 +485,15 @@
     static const char *const names[] = {"identity", "snapshot", "log"};
     struct disk *d = disk_with_entries(8, true);
     struct storage_options o = options_on(d);
-    struct storage_found f;
+    struct storage_contents f;
     struct storage *s = NULL;
     char detail[DETAIL_SIZE];
 
     o.member = name_of("c2");
-    CU_ASSERT_EQUAL(storage_open(&o, &s, &f, detail), STORAGE_FOREIGN);
+    CU_ASSERT_EQUAL(storage_open(&o, &s, &f, detail), STORAGE_WRONG_MEMBER);
     CU_ASSERT_PTR_NOT_NULL(strstr(detail, "c1"));
-    CU_ASSERT_EQUAL(storage_format(&o, 1, 1, NULL, detail), STORAGE_FOREIGN);
+    CU_ASSERT_EQUAL(storage_format(&o, 1, 1, NULL, detail),
+                    STORAGE_WRONG_MEMBER);
     fault_disk_free(d);
     for (size_t i = 0; i < sizeof(names) / sizeof(names[0]); i++) {
         d = disk_with_entries(8, true);
@@ -511,7 +512,7 @@
 {
     struct disk *d = fault_disk_new();
     struct storage_options o = options_on(d);
-    struct storage_found f;
+    struct storage_contents f;
     struct storage *s = NULL;
     char detail[DETAIL_SIZE];
 
@@ -524,7 +525,7 @@
     s = open_on(d, &f);
     CU_ASSERT_PTR_NOT_NULL_FATAL(s);
     CU_ASSERT_EQUAL(f.n_entries, 1);
-    storage_found_free(&f);
+    storage_contents_free(&f);
     storage_close(s);
     fault_disk_free(d);
 }
