--- a/src/broker_order.c
+++ b/src/broker_order.c
@@ -9,7 +9,7 @@
  * urgent queues a little earlier.  A job that can no longer meet its objective
  * is late, and gets only capacity that the other jobs leave free.  A job that
  * would not even get that while its answer is useful is refused on arrival,
- * when it has cost nothing, and the caller is told when to retry.  While
+ * when it has cost nothing, and the refusal says when to retry.  While
  * demand exceeds capacity, capacity is shared between queues (broker_share.c).
  */
 #include <stdlib.h>
@@ -358,8 +358,9 @@
     job->queue_key_us = LATE_OFFSET_US + job->latest_start_us;
 }
 
-/* Delay after which the caller should retry: the jobs before this one are done
- * by then. */
+/* Delay after which the caller should retry: the latest start of the new
+ * submission is then no earlier than @start_us, when the jobs before this one
+ * are expected to be done. */
 static int64_t
 retry_after_us(const struct run_job *job, int64_t start_us)
 {
--- a/src/broker_run.c
+++ b/src/broker_run.c
@@ -10,7 +10,7 @@
 
 #include "broker_state.h"
 
-/* Interval between checks whether waiting jobs can still be in time. */
+/* Interval between checks whether queued jobs can still be in time. */
 #define QUEUE_REVIEW_US (20 * USEC_PER_MSEC)
 
 struct broker_service *
@@ -615,11 +615,12 @@
     return all;
 }
 
-/* Checks every waiting job, also those behind jobs that find no capacity:
- * otherwise a job that cannot meet its deadline would be refused only when its
+/* Refuses queued jobs that would start too late, and moves jobs that have
+ * become late behind the others.  All of the queue is checked, also behind
+ * jobs that find no capacity: otherwise a job would be refused only when its
  * turn comes. */
 static void
-review_queue(struct broker *b, struct broker_service *s)
+refuse_or_demote_late(struct broker *b, struct broker_service *s)
 {
     struct run_job *job = TAILQ_FIRST(&s->queue);
 
@@ -681,7 +682,7 @@
     for (struct broker_service *s = b->services; s != NULL; s = s->next) {
         if (s->placement_due || b->now.mono_us >= s->next_placement_us) {
             s->next_placement_us = b->now.mono_us + QUEUE_REVIEW_US;
-            review_queue(b, s);
+            refuse_or_demote_late(b, s);
             serve_queue(b, s);
         }
     }
--- a/src/broker_state.h
+++ b/src/broker_state.h
@@ -55,9 +55,9 @@
  * @up: connected
  * @stopping: in a planned stop; takes no further upstreams
  * @serves_while_stopping: still runs new jobs although it is stopping
- * @loads: of its services
+ * @loads: of the services of the peer, from its newest load report
  * @n_loads: number of @loads
- * @config_poll_us: for a registry: when to ask it for a newer configuration
+ * @config_poll_us: for a registry: when to poll it for a newer configuration
  * @reported_version: for a registry: newest configuration version it reported
  *                    on this connection
  * @fetch_timed_out: for a registry: it did not send a requested configuration
@@ -203,11 +203,11 @@
  * @arrived_us: when @taker accepted it
  * @objective_us: an answer after this is late
  * @deadline_us: the caller does not wait for an answer after this
- * @latest_start_us: started by then, it is expected to meet its objective
+ * @latest_start_us: a job started by then is expected to meet its objective
  * @queue_key_us: sort key in the queue, lowest first, see broker_order.c
  * @work: expected processor time of all its tasks, in milli-core microseconds
- * @late: it can't meet its objective any more; it only gets capacity that the
- *        other jobs leave unused
+ * @late: the job can't meet its objective any more; it only gets capacity that
+ *        jobs that still can meet theirs leave unused
  * @n_done: tasks that succeeded
  * @total_run_us: their total run time, scaled to upstreams near their data
  * @n_unfinished: tasks that have not succeeded
@@ -217,8 +217,9 @@
  *          only until its runs on upstreams have ended
  * @closed_us: when it was closed
  * @accepted_us: when its taker last offered it
- * @renewed_us: as of when the caller is known to be still interested; for a
- *              closed job: as of when it last was
+ * @renewed_us: newest time as of which the taker confirmed that the caller
+ *              was connected, see renew_confirmed_us(); not changed after the
+ *              job is closed
  * @started: a start of one of its tasks was sent
  * @queued: in the service's queue
  * @blocked_by_earlier: earlier submissions of the job may still have runs on
@@ -326,16 +327,17 @@
  * @born_ms: its incarnation; 0: not announced yet
  * @sequence: of its last announcement
  * @last_reported_us: when a registry last reported it
- * @leaving: it asked for no new tasks
- * @gone: it announced that it has ended
- * @holder: broker that reported to hold it; empty: none
- * @fence: fence with which it is held, or the highest known
+ * @leaving: the upstream announced that it accepts no new tasks
+ * @gone: the upstream announced that it has ended
+ * @holder: broker that reported that it holds the upstream; empty: none
+ * @fence: fence under which this broker holds the upstream, or the highest
+ *         known one
  * @last_end: number of the last ended run that was processed
  * @ack_pending: @last_end has not been sent to the upstream yet
  * @clock_ms: its clock when it last answered
  * @clock_us: time of that answer on this broker's clock
- * @granted_until_us: the latest end of a lease that it was sent, on this
- *                    broker's clock
+ * @granted_until_us: the latest end of a lease that was sent to the upstream,
+ *                    on this broker's clock
  * @leases_end_us: by then every run on leases of this broker has ended, even
  *                 if the upstream's clock is slow
  * @poll: number of the poll in progress; 0: none
@@ -343,10 +345,11 @@
  * @quick_poll: number of the quick poll in progress; 0: none
  * @quick_poll_due: a quick poll is to be sent
  * @missed_polls: polls in a row without an answer
- * @lost_start_until_us: it may execute a start that it did not answer until
- *                       then
- * @fence_retries: times in a row that it refused the fence while taken
- * @fenced_view: broker.view when it was lost to a higher fence
+ * @lost_start_until_us: until then, the upstream may still execute a start
+ *                       that it did not answer
+ * @fence_retries: consecutive refusals of the fence while this broker takes
+ *                 the upstream
+ * @fenced_view: broker.view when the upstream was lost to a higher fence
  * @tasks: tasks that run, or may run, there
  * @n_tasks: number of @tasks
  * @tasks_capacity: allocated length of @tasks
@@ -436,7 +439,8 @@
  * @rng: state of broker_random()
  * @started_us: when it started, or resumed after a pause
  * @last_step_us: time of the last step
- * @callers_known_us: all callers that disconnected before this are known
+ * @callers_known_us: every disconnect of a caller before this time has been
+ *                    processed
  * @queues: configuration in force; NULL: none
  * @config_text: its text
  * @config_version: its version; 0: none
@@ -450,19 +454,21 @@
  * @load_reported: the last load report to the other brokers was not empty
  * @holds_reported: registries were notified that this broker holds upstreams
  * @n_unoffered: number of @caller_jobs without a runner
- * @runners_updated: a load report came since @caller_jobs were last offered
+ * @runners_updated: a load report was received since jobs without a runner
+ *                   were last offered
  * @caller_timers: deadlines of @caller_jobs
  * @calls: in progress, to upstreams
  * @discovery_over: as of the last step, the wait for other brokers is over,
  *                  see broker_options.discovery_us
  * @review_due: upstreams have to be assigned to holders again
- * @next_review_us: not before this
- * @hold_updates: taken and released upstreams, sent at the end of the step
+ * @next_review_us: earliest time of that assignment
+ * @hold_updates: upstreams taken, released or lost, sent to the zone at the
+ *                end of the step
  * @local_msgs: messages of this process to itself, handled before the step
  *              ends
  * @stopping: a planned stop has begun
- * @serves_while_stopping: it still runs new jobs while stopping, see
- * broker_shutdown.c
+ * @serves_while_stopping: new jobs are still run while stopping, see
+ *                         broker_shutdown.c
  * @stopped_reported: BE_STOPPED was emitted
  * @stop_begun_us: when the planned stop began
  * @ack_mean_us: mean time from a call to its answer, estimated like TCP's
@@ -557,15 +563,17 @@
  * or lost */
 void peers_on_connection(struct broker *b, struct name name, bool up);
 
-/** peers_on_introduction() - takes the introduction of another broker */
+/** peers_on_introduction() - stores what another broker sent about itself: its
+ * zone, address and incarnation, and whether it is stopping */
 void peers_on_introduction(struct broker *b, struct name from,
                            const struct rec_introduction *i);
 
 /** peers_on_roster() - connects to the brokers and registries of a roster */
 void peers_on_roster(struct broker *b, const struct rec_roster *r);
 
-/** peers_on_load() - takes the load of a broker, which also requests a renewal
- * of its jobs */
+/** peers_on_load() - stores the load report of a broker.  The report is also a
+ * request to renew the leases of the jobs which that broker runs for callers
+ * of this one. */
 void peers_on_load(struct broker *b, struct name from,
                    const struct rec_broker_load *l);
 
@@ -573,7 +581,8 @@
  * is stopping */
 void peers_announce_stop(struct broker *b);
 
-/** peers_tick() - sends the load and forgets lost processes when due */
+/** peers_tick() - sends load reports and removes processes that stayed
+ * disconnected, when due */
 void peers_tick(struct broker *b);
 
 /** peers_next_us() - when peers_tick() is due */
@@ -581,8 +590,8 @@
 
 /* broker_config.c */
 
-/** config_tick() - polls the registries for their version; fetches a newer
- * configuration */
+/** config_tick() - polls the registries for their configuration version, and
+ * fetches a newer configuration */
 void config_tick(struct broker *b);
 int64_t config_next_us(const struct broker *b);
 /** config_on_reply() - a registry reports its version, or sends the text */
@@ -603,7 +612,7 @@
  * holder */
 bool peers_have_successor(const struct broker *b);
 
-/** peers_can_run_jobs() - whether jobs may be offered to that process */
+/** peers_can_run_jobs() - whether jobs may be offered to @p */
 bool peers_can_run_jobs(const struct broker_peer *p);
 
 /** peers_zone_connected() - whether a registry has sent a roster, and all
@@ -698,18 +707,20 @@
 
 /* broker_renew.c */
 
-/** renew_init() - derives the lease of a job from the options, and limits the
- * upstreams' leases to it */
+/** renew_init() - derives the length of job leases from the options, and
+ * limits the leases of upstreams to that length */
 void renew_init(struct broker *b);
 
-/** renew_on_request() - a possible runner of jobs taken here requests a
- * renewal of their leases; @sent_us is the runner's clock.  A @check is always
- * answered, a load only when a renewal is due. */
+/** renew_on_request() - a load report (@check is false) or a JOB_CHECK arrived
+ * from @from, which may run jobs taken here; @sent_us is the time of its
+ * clock.  Schedules a renewal for these jobs: always for a check, for a load
+ * report only if the lease of one of the jobs has to be renewed. */
 void renew_on_request(struct broker *b, struct name from, uint64_t sent_us,
                       bool check);
 
-/** renew_confirmable_us() - newest time of @p's clock that this broker may
- * confirm jobs for: callers that disconnected before it are known here */
+/** renew_confirmable_us() - newest time of @p's clock as of which this broker
+ * may confirm that callers are connected: every earlier disconnect has been
+ * processed here */
 uint64_t renew_confirmable_us(const struct broker *b,
                               const struct broker_peer *p);
 
@@ -717,10 +728,12 @@
  * is lost */
 void renew_reset_peer(struct broker_peer *p);
 
-/** renew_next_us() - now while a renewal is to be sent, else INT64_MAX */
+/** renew_next_us() - the current time while a renewal is to be sent, else
+ * INT64_MAX */
 int64_t renew_next_us(const struct broker *b);
 
-/** renew_on_renewal() - takes a taker's list of jobs that it confirms */
+/** renew_on_renewal() - extends the leases of the jobs whose callers are still
+ * connected to the taker @from, as the renewal lists them */
 void renew_on_renewal(struct broker *b, struct name from,
                       const struct rec_job_renewal *r);
 
@@ -732,8 +745,8 @@
  * be connected */
 int64_t renew_confirmed_us(const struct broker *b, const struct run_job *job);
 
-/** renew_close_job() - the job's caller needs no answer from now on; the
- * lease of the job is not renewed any more */
+/** renew_close_job() - marks a job as closed: its caller needs no further
+ * answer about it, so the lease of the job is not renewed any more */
 void renew_close_job(const struct broker *b, struct run_job *job);
 
 /** renew_upstream_limit_us() - when all runs on the upstream must have ended:
@@ -751,8 +764,8 @@
  * upstream. */
 bool renew_job_can_start(struct broker *b, const struct run_job *job);
 
-/** renew_tick() - sends renewals and checks that are due, and gives up jobs
- * whose taker has not confirmed them for the time of a lease */
+/** renew_tick() - sends renewals and checks that are due, and abandons jobs
+ * that their taker has not confirmed for the length of a job lease */
 void renew_tick(struct broker *b);
 
 /* broker_order.c */
@@ -773,12 +786,14 @@
 /** order_remove() - removes the job from the queue, if it is queued */
 void order_remove(struct run_job *job);
 
-/** order_starts_too_late() - whether a queued late job can't start while its
- * answer is still useful; then sets *@retry_us as order_admit() does */
+/** order_starts_too_late() - whether a queued late job is expected to start
+ * too late for its answer to be useful; then sets *@retry_us as order_admit()
+ * does */
 bool order_starts_too_late(struct broker *b, const struct run_job *job,
                            int64_t *retry_us);
 
-/** order_on_late_start() - records the first start of a late job */
+/** order_on_late_start() - adds the work of a late job that starts its first
+ * task to the late throughput of the service */
 void order_on_late_start(struct broker *b, struct run_job *job);
 
 /** order_demote_if_late() - marks a queued job as late once its latest start
@@ -811,10 +826,12 @@
  * time */
 void share_update(struct broker *b, struct broker_service *s, double capacity);
 
-/** share_add_late_start() - counts a late job that was started */
+/** share_add_late_start() - adds the work of a late job that was started to
+ * the late throughput */
 void share_add_late_start(struct broker_service *s, double work);
 
-/** share_add_demand() - counts a job that was offered, admitted or not */
+/** share_add_demand() - adds the work of an offered job, admitted or not, to
+ * the demand of its queue */
 void share_add_demand(struct broker *b, struct broker_service *s,
                       struct queue_stats *q, double work, double capacity);
 
@@ -826,7 +843,8 @@
 double share_wait_factor(const struct broker_service *s,
                          const struct queue_stats *q, double capacity);
 
-/** share_spend_credit() - a job of the queue was admitted */
+/** share_spend_credit() - subtracts the work of an admitted job from the
+ * credit of its queue */
 void share_spend_credit(struct queue_stats *q, double work);
 
 /* broker_place.c */
@@ -858,16 +876,18 @@
 
 /* broker_hold.c */
 
-/** hold_on_upstream_report() - takes a registry's report of upstreams */
+/** hold_on_upstream_report() - adds and updates upstreams that a registry
+ * reported */
 void hold_on_upstream_report(struct broker *b,
                              const struct rec_upstream_report *r);
 
-/** hold_notify_zone() - notifies the zone of upstreams taken and released in
- * this step */
+/** hold_notify_zone() - sends the upstreams taken, released or lost in this
+ * step to the other brokers of the zone */
 void hold_notify_zone(struct broker *b);
 
-/** hold_on_peer_holds() - takes a broker's list of upstreams that it took and
- * released */
+/** hold_on_peer_holds() - updates the holders of upstreams from the list that
+ * another broker sent: those it took, released or lost, or all that it holds
+ */
 void hold_on_peer_holds(struct broker *b, struct name from,
                         const struct rec_upstream_holds *h);
 
@@ -896,10 +916,13 @@
 /** hold_next_us() - when hold_tick() is due; INT64_MAX for never */
 int64_t hold_next_us(const struct broker *b);
 
-/** hold_on_fenced() - the upstream has refused a call for a higher fence */
+/** hold_on_fenced() - the upstream refused a call since it knows a higher
+ * fence: raises the fence while the upstream is being taken, up to a limit,
+ * else marks the upstream as lost */
 void hold_on_fenced(struct broker *b, struct broker_upstream *u);
 
-/** hold_on_restart() - the upstream was restarted as incarnation @born_ms */
+/** hold_on_restart() - the upstream was restarted as incarnation @born_ms:
+ * resets its state; if it is held, takes it again under a higher fence */
 void hold_on_restart(struct broker *b, struct broker_upstream *u,
                      uint64_t born_ms);
 
@@ -908,7 +931,8 @@
 void hold_on_poll_answer(struct broker *b, struct broker_upstream *u,
                          bool unknown);
 
-/** hold_on_poll_failure() - a poll got no answer */
+/** hold_on_poll_failure() - a poll got no answer: schedules the next one;
+ * after several in a row, marks the upstream as unresponsive */
 void hold_on_poll_failure(struct broker *b, struct broker_upstream *u);
 
 /* broker_lease.c */
--- a/src/claim_sync.c
+++ b/src/claim_sync.c
@@ -51,8 +51,10 @@
 
 /* A page is a range of indices in the table.  Records do not move, so a record
  * that exists during the whole transfer is in exactly one page.  A record
- * added in a range already sent was granted after the first request, and that
- * grant's reply names the new incarnation of the requesting voter. */
+ * added in a range already sent was granted after the first request, so the
+ * requesting voter lacks it.  This is safe: the reply to that grant names the
+ * new incarnation of the requesting voter, and the claimer then discards the
+ * grants of that voter's earlier incarnation, see grant_stale(). */
 static void
 fill_page(struct entry *e, int zone, struct rec_sync_reply *reply)
 {
--- a/src/control_mail.h
+++ b/src/control_mail.h
@@ -13,7 +13,8 @@
     CONTROL_MAIL_EVENT,    /* passes @event to the reducer */
     CONTROL_MAIL_METRICS,  /* answers event.u.read.request with metrics */
     CONTROL_MAIL_ANNOUNCE, /* passes @msg, UPSTREAM_REPORT, to the registry */
-    CONTROL_MAIL_PEER, /* reports the connection of @peer to the registry */
+    CONTROL_MAIL_PEER, /* notifies the registry that the connection to @peer
+                        * was made or lost */
 };
 
 /**
--- a/src/control_runtime.c
+++ b/src/control_runtime.c
@@ -17,7 +17,8 @@
     WAIT_MAX_US = 1000000,  /* longest sleep of the reducer's thread */
     INBOX_RETRY_US = 200,   /* retry interval while the inbox is full */
     DRAIN_MS = 2000,        /* time limit for pending replies at shutdown */
-    STATE_REQUEST_DUMP = 0, /* request number of a state dump to the log */
+    STATE_REQUEST_DUMP = 0, /* request number of a state dump to the
+                             * process's log */
 };
 
 struct control_runtime {
--- a/src/control_runtime.h
+++ b/src/control_runtime.h
@@ -63,7 +63,8 @@
 struct control_runtime *
 control_runtime_new(const struct control_runtime_options *o);
 
-/** control_runtime_dump() - requests that the state is written to the log */
+/** control_runtime_dump() - requests that this member's state is written to
+ * the process's log as one line of JSON */
 void control_runtime_dump(struct control_runtime *r);
 
 /** control_runtime_stop() - begins a planned shutdown: the health check fails
--- a/src/control_settings.c
+++ b/src/control_settings.c
@@ -127,8 +127,8 @@
     }
 }
 
-/* Entry instances connect to control members, so their addresses stay empty.
- */
+/* The addresses of entry instances stay empty: an instance connects to the
+ * control members, which never connect to it. */
 static void
 read_instances(struct control_settings *s)
 {
--- a/src/control_state.h
+++ b/src/control_state.h
@@ -168,7 +168,8 @@
     int64_t join_due_us;     /* next MSG_JOIN */
     int64_t leader_since_us; /* when this member became leader */
 
-    /* Read index requested after a start, before followers are served. */
+    /* Commit index requested from the leader after a start.  Followers are
+     * served once it is applied. */
     uint64_t startup_nonce;
     uint64_t startup_read_index; /* 0: no answer yet */
 
@@ -369,8 +370,12 @@
  * pending */
 bool serve_has_pending_entry(const struct control *c);
 
+/** serve_on_read_index() - as leader, sends the commit index to a member that
+ * has restarted, once a heartbeat round has confirmed the leadership */
 void serve_on_read_index(struct control *c, struct name from,
                          const struct rec_read_index *r);
+/** serve_on_read_reply() - stores the commit index that the leader sent to
+ * this member after its start: followers are served once it is applied */
 void serve_on_read_reply(struct control *c, struct name from,
                          const struct rec_read_reply *r);
 
--- a/src/health.h
+++ b/src/health.h
@@ -37,7 +37,9 @@
  * ratio of its run time to the expected one, 0 if not known */
 void health_task_succeeded(struct entry *e, struct upstream *u, double ratio);
 
-/** health_task_failed() - records @times failures in a row, of any kind */
+/** health_task_failed() - records @times consecutive failures on the upstream:
+ * failed runs, starts without an answer and failed connections count alike.
+ * May quarantine the upstream. */
 void health_task_failed(struct entry *e, struct upstream *u, uint32_t times);
 
 /** health_may_probe() - whether a probe of a quarantined upstream is due and
--- a/src/place.h
+++ b/src/place.h
@@ -1,12 +1,12 @@
 /**
  * DOC: place - places where this instance may start tasks of a service
  *
- * A place is either an upstream on which this instance may start tasks by its
- * own right, or a grant: slots that the upstream's holder has lent (slot.h).
- * Places with a free slot are kept in lists by level; the less loaded, the
- * faster and the healthier the upstream, the lower the level.  Choosing a
- * place therefore examines only a few of them, however many upstreams there
- * are.
+ * A place is either an upstream on which this instance may start tasks without
+ * a grant (the instance's own place), or a grant: slots that the upstream's
+ * holder has lent (slot.h).  Places with a free slot are kept in lists by
+ * level; the less loaded, the faster and the healthier the upstream, the lower
+ * the level.  Choosing a place therefore examines only a few of them,
+ * however many upstreams there are.
  */
 #ifndef BM_PLACE_H
 #define BM_PLACE_H
@@ -30,17 +30,20 @@
  * @grant_id: number chosen by the lender; 0 if the place is not a grant
  * @lender: instance that granted the slots
  * @slots: number of slots granted
- * @slots_used: starts of this instance in flight there
+ * @slots_used: starts of this instance in flight at the place
  * @failures: consecutive failures, reported to the lender
  * @unreported_successes: tasks that succeeded, not yet reported to the lender
  * @slot_size: resources of each granted slot
  * @expires_us: monotonic end of the grant; no starts from then on
  * @last_used_us: monotonic time of the last start or end
- * @blocked_until_us: monotonic time before which nothing is started
- * @refusals: consecutive refused starts
- * @closed: no further starts; removed when all starts in flight have ended
- * @listed: in the list of its level
- * @counted_free: free slots that are included in the pool's own_free
+ * @blocked_until_us: monotonic time before which no task is started here, see
+ *                    place_block()
+ * @refusals: consecutive refused starts, up to the limit of place_block()
+ * @closed: no further starts; the place is removed when all starts in flight
+ *          have ended
+ * @listed: the place is in the list of its level, thus has a free slot
+ * @counted_free: free slots that are included in the pool's
+ *                own_free_slots
  * @level: list that the place is in
  * @rack_bit: bit that stands for the upstream's rack, see struct queue_entry
  * @pool_index: index in the pool's array
@@ -79,9 +82,9 @@
 struct pool {
     struct place **all_places;
     size_t n_places;
-    size_t capacity;
+    size_t capacity;         /* allocated length of all_places */
     size_t n_available;      /* places with a free slot */
-    uint32_t own_free_slots; /* free slots at places that are not grants */
+    uint32_t own_free_slots; /* at places that are not grants */
     struct place *level_lists[PLACE_LEVELS];
 };
 
@@ -122,12 +125,13 @@
  * called whenever the result of place_free_slots() may have changed */
 void place_update(struct entry *e, struct place *p);
 
-/** place_available_at_us() - monotonic time at which an unusable place becomes
- * usable without any further event; INT64_MAX if there is none */
+/** place_available_at_us() - monotonic time at which a place without a free
+ * slot may get one without any further event: the end of a block, or the next
+ * probe of a quarantined upstream; INT64_MAX if there is none */
 int64_t place_available_at_us(const struct entry *e, const struct place *p);
 
-/** place_block() - no starts at the place for a while; the time doubles with
- * each consecutive call, up to a limit */
+/** place_block() - stops starts at a place that refused one, for a time that
+ * doubles with each consecutive refusal, up to a limit */
 void place_block(struct entry *e, struct place *p);
 
 /** place_is_own() - whether the place is not a grant */
